--- a/packages/sesamepoint-core/src/sesamepoint_core/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: what a process concludes from what it has been told."""
+"""Decision logic without I/O: what a process concludes from the messages it receives."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/__init__.py
@@ -1,1 +1,1 @@
-"""Which work is let in, and how often it may be tried again."""
+"""Admission control: account and input limits, deadline margins, retry budgets."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/accounts.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/accounts.py
@@ -1,28 +1,29 @@
-"""Limits per account that hold across entries without a message per request."""
+"""Rate limits per account that hold across instances without a message per request."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from typing import NamedTuple
 
+# Seconds of its rate that an account may use at once.
 BURST_S = 5.0
 MAX_ACCOUNTS = 10_000
 
 
 class Bucket(NamedTuple):
-    """What an account may still send at once, and as of when."""
+    """The requests that an account may send at once, and the time of that state in seconds."""
 
     credit: float
     at: float
 
 
 class AccountLimits:
-    """A token bucket per account, each entry with its share of the rate.
+    """Token buckets of accounts; each instance grants an equal share of the rate.
 
-    The balancer spreads an account's requests over the entries evenly, so
-    each grants the rate over the number of entries. Nothing is said between
-    them about single requests. An account that comes by one entry only gets
-    that entry's share.
+    The load balancer spreads the requests of an account evenly over the instances, so
+    each of them grants the rate divided by their number. They exchange no messages
+    about single requests. An account whose requests all reach the same instance gets
+    only the share of that instance.
     """
 
     def __init__(self) -> None:
@@ -30,18 +31,18 @@
         self._buckets: OrderedDict[str, Bucket] = OrderedDict()
 
     def wait_s(self, now: float, account: str, rate: float, entries: float) -> float:
-        """Take one request's credit; return 0, or when to come back.
+        """Take a token for one request; return 0, or the seconds until there is one.
 
         Parameters
         ----------
         now
-            Seconds on any steady clock.
+            Seconds of a monotonic clock.
         account
-            Whom it is counted against.
+            Account that the request counts against.
         rate
-            Requests a second over all entries.
+            Requests a second over all instances.
         entries
-            How many entries there are.
+            Number of instances.
         """
         share = rate / max(entries, 1)
         burst = max(share * BURST_S, 1)
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/budget.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/budget.py
@@ -1,47 +1,48 @@
-"""A budget that keeps retries a small share of the traffic."""
+"""A retry budget that limits retries to a share of the requests."""
 
 from __future__ import annotations
 
+# In retries.
 STARTING_CREDIT = 5.0
 MAX_CREDIT = 20.0
 
 
 class RetryBudget:
-    """Each request earns a share of a retry; each retry costs a whole one.
+    """Credit for retries: each request adds a fraction of a retry, each retry takes one.
 
-    When upstreams fail, every request wants a retry, and the retries are
-    load that makes more requests fail. With a budget the added load is
-    bounded by ``share`` of the traffic, whatever fails.
+    When upstreams fail, all requests are retried, and the added load makes more
+    requests fail. The budget limits the added load to the fraction that each request
+    adds, whatever fails.
 
     Parameters
     ----------
     max_credit
-        Retries that may be saved up for a burst of failures.
+        Most retries that may be saved up for a burst of failures.
     """
 
     def __init__(self, max_credit: float = MAX_CREDIT) -> None:
-        """Start with a little credit, so that a lone failure is retried."""
+        """Start with some credit, so that a single failure can be retried."""
         self._max_credit = max_credit
         self._credit = min(STARTING_CREDIT, max_credit)
 
     def earn(self, share: float) -> None:
-        """Count one request."""
+        """Add the credit of one request: ``share`` of a retry."""
         self._credit = min(self._credit + share, self._max_credit)
 
     def resize(self, max_credit: float) -> None:
-        """Allow ``max_credit`` to be saved up from now on."""
+        """Change the most retries that may be saved up."""
         self._max_credit = max_credit
         self._credit = min(self._credit, max_credit)
 
     def spend(self) -> bool:
-        """Take a retry's cost, if there is credit for it."""
+        """Take one retry from the credit; returns False if there is none left."""
         if self._credit < 1:
             return False
         self._credit -= 1
         return True
 
     def charge(self) -> None:
-        """Take the cost of an extra arrival that has already happened."""
+        """Take one retry that has already happened, even beyond the credit."""
         self._credit -= 1
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/limits.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a caller's input, in one place."""
+"""Limits and defaults for the input of callers."""
 
 from __future__ import annotations
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/margin.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/margin.py
@@ -1,19 +1,20 @@
-"""How much of a deadline is kept in reserve when work is let in."""
+"""Adaptive reserve of the deadline that requests must have to be admitted."""
 
 from __future__ import annotations
 
+# Growth of the share by each late answer, and relative decay by each answer on time.
 GROWTH = 0.02
 FADING = 0.01
 MAX_MARGIN = 0.15
 
 
 class Margin:
-    """A share of the deadline that grows with late answers and fades.
+    """A share of the deadline that grows with late answers and decays with others.
 
-    What is let in and then late has used engine time for nothing and made
-    others late; what is refused early has not. Without pressure hardly any
-    answer is late and next to nothing is held back; under overload the
-    margin settles where the few late ones and the fading balance.
+    A request that is admitted and then late has wasted engine time and made others
+    late; one that is refused early has not. Without overload hardly any answer is late
+    and the share is near 0. Under overload it settles where the growth by the few late
+    answers and the decay balance.
     """
 
     def __init__(self) -> None:
@@ -21,7 +22,7 @@
         self.share: float = 0
 
     def observe(self, *, late: bool) -> None:
-        """Learn from one request that was let in."""
+        """Update the share by the outcome of one admitted request."""
         if late:
             self.share = min(self.share + GROWTH, MAX_MARGIN)
         else:
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/window_budget.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/window_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget over a sliding window, of which each entry has a share."""
+"""A retry budget over a sliding window, with a share of the reserve for each instance."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# The window is looked at in so many slices: one slice more is counted of what
-# was spent, and one less of what was earned, so that no window is overspent.
+# Number of slices that the window is divided into. Spending is counted over one slice
+# more than earnings, so that no window of this length exceeds the budget.
 SLICES = 20
-# The reserve fills up again while less than this share of what the requests
-# earn is used: a fault that lasts gets it once.
+# The reserve is refilled only while less than this share of the earnings is in use, so
+# that a lasting fault can use it only once.
 CALM_SHARE = 0.5
 
 
 class _Slice(NamedTuple):
-    """What happened in one slice; ``reserved`` of the extra sends took from the reserve."""
+    """Counts of one slice; ``reserved`` of the extra sends were taken from the reserve."""
 
     number: int
     requests: int = 0
@@ -26,24 +26,23 @@
 
 
 class WindowBudget:
-    """Keeps extra sends a share of the requests, in every window.
+    """Limits extra sends to a share of the requests, in each window.
 
-    The bound holds over a window as a whole, so what requests have earned
-    stays good for as long. (Credit that could be saved up to a small bound,
-    the reserve over the number of entries, was three sends at 31 entries:
-    when engines lost answers for 4 s, two thirds of the retries were not
-    made, while all entries together used a fifth of what they may.)
+    The limit applies to a window as a whole, so earnings stay valid for its length.
+    With a credit bounded by the reserve over the number of instances, which was three
+    sends at 31 instances, two thirds of the retries were not made when engines lost
+    answers for 4 s, while all instances together used a fifth of their budget.
 
     Parameters
     ----------
     ratio
-        Extra sends that each request allows.
+        Extra sends that each request earns.
     reserve
-        Extra sends that are allowed besides, when failures begin.
+        Extra sends that are allowed in addition when failures begin.
     window_s
         Length of the window, in seconds.
     now
-        The clock, in seconds.
+        Returns the time of a monotonic clock, in seconds.
     """
 
     def __init__(self, ratio: float, reserve: float, window_s: float, now: Callable[[], float]) -> None:
@@ -63,14 +62,14 @@
             self._saved = min(self._saved + self._ratio, self._reserve)
 
     def resize(self, reserve: float) -> None:
-        """Allow ``reserve`` besides, from now on."""
+        """Change the reserve."""
         self._saved = max(self._saved + reserve - self._reserve, 0)
         self._reserve = reserve
 
     def spend(self) -> bool:
-        """Take an extra send, if there is room for it: first of what was earned, then of the reserve."""
+        """Take an extra send from the earnings, else from the reserve; returns False if both are used up."""
         newest = self._newest()
-        extra = sum(one.extra for one in self._slices)
+        extra = sum(each.extra for each in self._slices)
         if extra + 1 > self._earned() + self._reserve:
             return False
         if self._used() + 1 <= self._earned():
@@ -88,16 +87,16 @@
         self._slices[-1] = newest._replace(extra=newest.extra + 1)
 
     def _earned(self) -> float:
-        """Return what the requests of the window allow, its oldest slice left out."""
+        """Return the extra sends that the requests of the window have earned, without its oldest slice."""
         newest = self._slices[-1].number
-        return self._ratio * sum(one.requests for one in self._slices if one.number > newest - SLICES)
+        return self._ratio * sum(each.requests for each in self._slices if each.number > newest - SLICES)
 
     def _used(self) -> int:
-        """Return how much of that was spent."""
-        return sum(one.extra - one.reserved for one in self._slices)
+        """Return the extra sends that were taken from the earnings."""
+        return sum(each.extra - each.reserved for each in self._slices)
 
     def _newest(self) -> _Slice:
-        """Return the slice of now, and forget those that lie before the window."""
+        """Return the slice of the current time, and drop those before the window."""
         number = int(self._now() / self._slice_s)
         if not self._slices or self._slices[-1].number != number:
             self._slices.append(_Slice(number))
--- a/packages/sesamepoint-core/src/sesamepoint_core/answer/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/answer/__init__.py
@@ -1,1 +1,1 @@
-"""Answers: numbered chunks and what became of a request."""
+"""Assembly of answers from numbered chunks, and the outcomes of requests."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/bounded.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/bounded.py
@@ -1,4 +1,4 @@
-"""Dictionaries that keep no more than so many entries."""
+"""Dictionaries with a bounded number of entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def forget_oldest(kept: dict[KeyT, ValueT], most: int) -> None:
-    """Drop the entry that was put in first if there are more than ``most``; asked after each that is added."""
+    """Drop the oldest entry if the dictionary exceeds its bound; to be called after each insertion."""
     if len(kept) > most:
         kept.pop(next(iter(kept)))
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/config/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: its model and its checks."""
+"""Model of the operator's configuration, and its checks."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/decimals.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/decimals.py
@@ -1,4 +1,4 @@
-"""Plain decimal numbers in texts of others."""
+"""Check for plain decimal numbers in text from other processes."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def plain_decimal(text: str) -> str:
-    """Return ``text`` without the white space around it.
+    """Return a plain decimal number without the white space around it.
 
     Raises
     ------
     ValueError
-        If it is no plain decimal number: it has a sign, an exponent, or anything else.
+        If ``text`` is no plain decimal number; signs and exponents aren't allowed.
     """
     stripped = text.strip()
     if not _DECIMAL.fullmatch(stripped):
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/__init__.py
@@ -1,1 +1,1 @@
-"""A duty that one instance holds at a time, and the reports on use that it is for."""
+"""A duty that one instance at a time holds by a lease, and the usage reports that it sends."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/errors.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/errors.py
@@ -1,39 +1,39 @@
-"""Typed errors; every message names the remedy."""
+"""Exceptions of sesamepoint; each message says what is wrong and what to do about it."""
 
 from __future__ import annotations
 
 
 class SesamepointError(Exception):
-    """Base of all errors that sesamepoint raises on purpose.
+    """Base of all exceptions that sesamepoint raises itself.
 
     Parameters
     ----------
     found
         What is wrong.
     remedy
-        What the reader of the message can do about it.
+        What to do about it.
     """
 
     def __init__(self, found: str, remedy: str) -> None:
-        """Keep both halves of the message."""
+        """Build the message from both parts."""
         super().__init__(f'{found}; {remedy}')
         self.found = found
         self.remedy = remedy
 
 
 class UnknownNameError(SesamepointError):
-    """A name that no registry entry has."""
+    """A name that isn't registered."""
 
     def __init__(self, kind: str, name: str, known: tuple[str, ...]) -> None:
-        """Tell the names that would have done."""
+        """List the registered names in the message."""
         super().__init__(f'no {kind} is called {name!r}', f'use one of: {", ".join(known)}')
 
 
 class HistoryLostError(SesamepointError):
-    """The log no longer holds what a process needs to know the present."""
+    """The control log no longer holds records that a process needs to restore its state."""
 
     def __init__(self, wanted: int, earliest: int) -> None:
-        """Tell the hole in the log."""
+        """Name the missing offset and the first one that is left."""
         super().__init__(
             f'the control log starts at offset {earliest}, offset {wanted} is needed and no snapshot covers it',
             'start one process that still holds the state, or publish to a new log stream',
@@ -44,24 +44,24 @@
     """A service of the platform did not answer."""
 
     def __init__(self, service: str, cause: str) -> None:
-        """Tell which service and how it failed."""
+        """Name the service and the cause."""
         super().__init__(f'the {service} did not answer ({cause})', 'the call is repeated with back-off')
 
 
 class LinkLostError(SesamepointError):
-    """A connection to another process of the system gave no sign of life."""
+    """A connection to another process of the system failed."""
 
     def __init__(self, address: str, cause: str) -> None:
-        """Tell the far end and the sign that was missed."""
-        super().__init__(f'no sign of life from {address} ({cause})', 'a new connection is tried')
+        """Name the remote address and the cause."""
+        super().__init__(f'the connection to {address} failed ({cause})', 'a new connection is tried')
 
 
 class UpstreamError(SesamepointError):
-    """An upstream broke off or refused."""
+    """An upstream closed the connection or refused a request."""
 
     def __init__(self, cause: str) -> None:
-        """Tell what the upstream did."""
-        super().__init__(f'the upstream failed ({cause})', 'look at the upstream and its agent')
+        """Name the cause."""
+        super().__init__(f'the upstream failed ({cause})', 'check the upstream and its agent')
 
 
 __all__ = (
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement: the deterministic fold over the control log."""
+"""Agreement of processes: a deterministic fold over the records of the control log."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/keys/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys: who may run a request, by the order of a log stream."""
+"""Idempotency keys: which process may run a request, by the order of a log stream."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner should take which role."""
+"""Planning of the roles of runners."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/policy.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/policy.py
@@ -1,4 +1,4 @@
-"""Policies: a way to route and a way to plan, under one name."""
+"""Named policies: each combines an algorithm for routing with one for planning."""
 
 from __future__ import annotations
 
@@ -10,9 +10,16 @@
 
 
 class Policy(NamedTuple):
-    """Everything that a policy's name stands for.
-
-    ``admits_late`` lets work in that would miss its deadline.
+    """The algorithms of a policy.
+
+    Parameters
+    ----------
+    choose
+        Chooses a runner for a request.
+    plan
+        Plans the roles of runners.
+    admits_late
+        Whether requests are admitted that would miss their deadlines.
     """
 
     choose: Chooser
--- a/packages/sesamepoint-core/src/sesamepoint_core/problems.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/problems.py
@@ -1,4 +1,4 @@
-"""One line for each thing wrong with a document."""
+"""Readable messages for validation errors of pydantic."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
         'missing': 'add it',
         'missing_argument': 'add it',
         'literal_error': 'use one of those',
-        'json_invalid': 'mend the JSON',
+        'json_invalid': 'fix the JSON syntax',
     }
 )
 
 
 def describe(exc: ValidationError) -> Iterator[str]:
-    """Yield ``path: what was found; remedy`` for each error."""
+    """Yield a line ``path: problem; remedy`` for each error."""
     for error in exc.errors():
         path = '.'.join(str(part) for part in error['loc']) or 'document'
         yield f'{path}: {_found(error)}; {_REMEDIES.get(error["type"], "change it")}'
--- a/packages/sesamepoint-core/src/sesamepoint_core/registry.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries of named variants, filled by decorators."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Registry(Generic[EntryT]):
-    """Named variants of one behaviour.
+    """Named variants of one kind.
 
     Parameters
     ----------
     kind
-        What the entries are, for error messages.
+        What the variants are called in error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -27,7 +27,7 @@
         self._entries: dict[str, EntryT] = {}
 
     def __iter__(self) -> Iterator[str]:
-        """Iterate over the names in order."""
+        """Iterate over the names in alphabetical order."""
         return iter(sorted(self._entries))
 
     def __contains__(self, name: object) -> bool:
@@ -35,7 +35,7 @@
         return name in self._entries
 
     def register(self, name: str) -> Callable[[EntryT], EntryT]:
-        """Return a decorator that files its target under ``name``."""
+        """Return a decorator that registers its target under ``name``."""
 
         def decorate(entry: EntryT) -> EntryT:  # noqa: WPS430
             self._entries[name] = entry
@@ -44,7 +44,7 @@
         return decorate
 
     def get(self, name: str) -> EntryT:
-        """Look ``name`` up.
+        """Return the variant called ``name``.
 
         Raises
         ------
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner gets a request, and whether it should get one at all."""
+"""Choice of the runner for a request, by estimated delay."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
@@ -1,1 +1,1 @@
-"""What a runner says of itself in its answers, and what is believed of it."""
+"""Status headers in the answers of runners, and the state of a runner derived from them."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on a request for an upstream: route, path, retries, deadlines."""
+"""Decisions on requests for upstreams: accounts, routes, placement, runner health, deadlines."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/accounts.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/accounts.py
@@ -1,8 +1,8 @@
-"""Client accounts: whose request it is, by the key that its caller shows.
+"""Client accounts and the look-up of an account by the API key of a request.
 
-A key is a secret. It is turned into a digest where it enters the process, the
-operator's list just like a caller's header, and only digests are kept, compared
-and told to peers: no log line, error or dump of any object has a key to show.
+A key is a secret. It is hashed where it enters the process, from the operator's
+configuration as well as from a caller's header. Only digests are stored, compared
+and sent to peers, so that no log line, error or dump of an object can contain a key.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Bytes of a digest: nobody finds a second key with the same one.
+# Long enough that a second key with the same digest can't be found.
 DIGEST_BYTES = 16
 
 
 class KeyFault(StrEnum):
-    """Why a request shows no usable key, as log lines tell it."""
+    """Reasons why a request has no usable key; the values are written to the log."""
 
     none = ''
     missing = 'no_key'
@@ -30,28 +30,28 @@
 
 
 class ShownKey(NamedTuple):
-    """What a caller shows: the digest of a key, or why there is none."""
+    """The digest of the key that a request carries, or the reason why there is none."""
 
     digest: str = ''
     fault: KeyFault = KeyFault.missing
 
 
 class Account(NamedTuple):
-    """A client account; ``priority`` goes before that of routes, if there is one."""
+    """A client account; its ``priority``, if set, overrides the priority of the route."""
 
     name: str
     priority: int | None = None
 
 
 class Holder(NamedTuple):
-    """An account and its keys, as the operator lists them."""
+    """An account and its keys, as the operator configures them."""
 
     account: Account
     keys: list[str]
 
 
 class Accounts(NamedTuple):
-    """All accounts of a configuration, found by the digests of their keys."""
+    """All accounts of a configuration, indexed by the digests of their keys."""
 
     by_key: dict[str, Account]
 
@@ -62,27 +62,27 @@
         Raises
         ------
         ValueError
-            If a key is empty, or two accounts have it. The message names the
-            accounts and the place of the key, never the key.
+            If a key is empty or belongs to two accounts. The message names the
+            accounts and the index of the key, never the key.
         """
         by_key: dict[str, Account] = {}
         for account, keys in holders:
-            for place, key in enumerate(keys):
-                before = by_key.setdefault(digest_of(key.encode()), account)
-                _check(account, place, key, before)
+            for position, key in enumerate(keys):
+                owner = by_key.setdefault(digest_of(key.encode()), account)
+                _check(account, position, key, owner)
         return cls(by_key)
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request may be served, for ``account`` if it is anybody's."""
+    """The request may be served; ``account`` is None if it belongs to no account."""
 
     account: Account | None
 
 
 @dataclass(frozen=True)
 class Denied:
-    """The request is nobody's."""
+    """The request belongs to no account and its route isn't public."""
 
     fault: KeyFault
 
@@ -91,12 +91,12 @@
 
 
 def digest_of(key: bytes) -> str:
-    """Return what stands for ``key`` everywhere but on the caller's wire."""
+    """Return the digest that replaces ``key`` everywhere in the system."""
     return blake2b(key, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def admit(accounts: Accounts, shown: ShownKey, *, public: bool) -> Admission:
-    """Tell whose request it is; on a ``public`` route it may be nobody's."""
+    """Find the account of a request; on a ``public`` route there need not be one."""
     account = accounts.by_key.get(shown.digest) if shown.digest else None
     if account is not None or public:
         return Admitted(account)
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/address.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/address.py
@@ -1,4 +1,4 @@
-"""Where an instance listens."""
+"""IPv4 addresses with a port."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Address(NamedTuple):
-    """An IPv4 address and a port; fits where the socket module wants one."""
+    """An IPv4 address and a port, in the form that the socket module takes."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``HOST:PORT``.
+        """Parse ``HOST:PORT``.
 
         Raises
         ------
         ValueError
-            If the host is no IPv4 address, or the port none from 1 to 65535.
+            If the host is no IPv4 address, or the port isn't from 1 to 65535.
         """
         host, _, port = text.rpartition(':')
         if not (port.isascii() and port.isdecimal() and 1 <= int(port) <= MAX_PORT):
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/engine_load.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/engine_load.py
@@ -1,31 +1,31 @@
-"""What an engine has to do, from what all entries sent to it."""
+"""Load of one engine: prompts to prefill and answers in progress, of all instances."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-# Work of which nobody told the end is forgotten after this many times its
-# length and this many seconds: its entry may have died, or its word was lost.
+# Prefill work whose end was not reported expires after this many times its
+# length plus this many seconds: its instance may have failed, or the message was lost.
 FORGET_FACTOR = 4.0
 FORGET_S = 1.5
-# Longest that a stream is counted without word of its end, in seconds; the
-# longest deadlines of today are six.
+# Seconds after which a stream expires whose end was not reported. The longest
+# deadlines in use are 6 s.
 FORGET_STREAM_S = 8.0
-# How far back the reading of an engine is known, in seconds; pauses of
-# streams are a quarter of it and less.
+# Length of the history of prefill work, in seconds. It has to cover the longest
+# pause that streams may have; these are 0.25 s at most.
 KEPT_S = 1.0
 
 
 class Work(NamedTuple):
-    """A prompt that an engine has to read.
+    """A prompt that an engine has to prefill.
 
     Parameters
     ----------
     work_s
-        Seconds it takes at that engine by itself.
+        Seconds that the prefill takes at that engine if nothing else runs there.
     added_at
-        When it was sent.
+        Time at which it was sent, in seconds.
     """
 
     work_s: float
@@ -38,9 +38,11 @@
     Parameters
     ----------
     tokens
-        Memory that it takes up.
+        Tokens of KV cache that it occupies.
+    added_at
+        Time at which it was sent, in seconds.
     late
-        Whether it can't be on time any more: a pause does it no harm.
+        Whether it is past its deadline, so that a pause does no harm.
     """
 
     tokens: int
@@ -49,67 +51,66 @@
 
 
 class EngineLoad:
-    """The prompts and answers that were sent to an engine and have no end yet."""
+    """Prompts and answers that were sent to an engine and haven't ended yet."""
 
     def __init__(self) -> None:
-        """Start idle."""
+        """Start without load."""
         self._works: dict[str, Work] = {}
         self._streams: dict[str, Stream] = {}
         self._last_read: float = 0
         self._added: deque[Work] = deque()
 
     def add_work(self, name: str, work: Work) -> None:
-        """Count a prompt until :meth:`read` is told of it."""
+        """Count a prompt until its end is noted or it expires."""
         self._works[name] = work
         self._added.append(work)
 
     def add_stream(self, name: str, stream: Stream) -> None:
-        """Count an answer until :meth:`finished` is told of it."""
+        """Count an answer until its end is noted or it expires."""
         self._streams[name] = stream
 
     def read(self, name: str, now: float) -> None:
-        """Note that the prompt called ``name`` is read, or given up."""
+        """Note that the prefill of the prompt ``name`` is complete or was abandoned."""
         if self._works.pop(name, None) is not None:
             self._last_read = now
 
     def finished(self, name: str) -> None:
-        """Note that the answer called ``name`` has ended."""
+        """Note that the answer ``name`` has ended."""
         self._streams.pop(name, None)
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until work that comes now begins.
+        """Return the seconds until the prefill of a prompt that is sent now begins.
 
-        Engines take in all prompts that find a place at once, and then read
-        them in the order of arrival: of what has been sent, nothing is passed
-        by more urgent work. (Measured: urgent prompts of 300 tokens behind
-        0.15 to 0.4 s of less urgent ones took 0.17 to 0.27 s longer.)
+        Engines accept all prompts for which they have a slot and prefill them
+        in the order of arrival, whatever their priority: urgent prompts of 300
+        tokens sent after 0.15 to 0.4 s of less urgent work took 0.17 to 0.27 s longer.
         """
         self._forget_works(now)
         if not self._works:
             return 0
-        begun = next(iter(self._works.values()))
-        begun_at = max(self._last_read, begun.added_at)
-        ahead_s = sum(work.work_s for work in self._works.values())
-        return max(ahead_s - min(now - begun_at, begun.work_s), 0)
+        oldest = next(iter(self._works.values()))
+        begun_at = max(self._last_read, oldest.added_at)
+        total_s = sum(work.work_s for work in self._works.values())
+        return max(total_s - min(now - begun_at, oldest.work_s), 0)
 
     def read_lately_s(self, span_s: float, now: float) -> float:
-        """Return the seconds of reading that were sent in the last ``span_s``."""
+        """Return the seconds of prefill work that were sent in the last ``span_s`` seconds."""
         while self._added and now - self._added[0].added_at > KEPT_S:
             self._added.popleft()
         return sum(work.work_s for work in self._added if now - work.added_at <= span_s)
 
     def streams(self, now: float) -> int:
-        """Return the number of answers under way."""
+        """Return the number of answers in progress."""
         self._forget_streams(now)
         return len(self._streams)
 
     def timely_streams(self, now: float) -> int:
-        """Return the number of answers under way that a pause would make late."""
+        """Return the number of answers in progress that can still meet their deadlines."""
         self._forget_streams(now)
         return sum(not stream.late for stream in self._streams.values())
 
     def stream_tokens(self, now: float) -> int:
-        """Return the memory that answers under way take, in tokens."""
+        """Return the KV cache that answers in progress occupy, in tokens."""
         self._forget_streams(now)
         return sum(stream.tokens for stream in self._streams.values())
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
@@ -1,4 +1,4 @@
-"""What a runner's memory probably holds, from what was sent to it."""
+"""Model of the KV cache of one runner, from the prompts that were sent to it."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 if TYPE_CHECKING:
     from collections.abc import Container, Sequence
 
-# Running requests share the memory with cached parts, and the order of use
-# is known only nearly. The model forgets a part rather sooner than its runner.
+# Share of the memory that the model fills. Running requests occupy the same memory,
+# and the order of use is known only roughly, so the model has to evict a block
+# earlier rather than later than the runner does.
 SHARE_FOR_PARTS = 0.9
 
 
 class CacheModel:
-    """Prompt parts in one runner's memory, least recently used first.
+    """Prefix blocks in the KV cache of one runner, least recently used first.
 
-    A part counts only if all parts before it are held too: an engine can
-    skip a head of the prompt, not its middle.
+    A block is of use only if all blocks before it are cached too: an engine can
+    skip the beginning of a prompt, not its middle.
     """
 
     def __init__(self, kv_tokens: int) -> None:
-        """Size the model by the memory of the runner, in tokens."""
+        """Set the memory of the runner, in tokens."""
         self._room = 0
         self._held: dict[str, int] = {}
         self._reading: dict[str, str] = {}
@@ -30,28 +31,29 @@
         self.resize(kv_tokens)
 
     def resize(self, kv_tokens: int) -> None:
-        """Take another size of the runner's memory."""
+        """Change the memory of the runner, in tokens."""
         self._room = int(kv_tokens * SHARE_FOR_PARTS)
         self._shrink()
 
     @property
     def kept(self) -> tuple[Part, ...]:
-        """Return all parts, least recently used first."""
+        """Return all cached blocks, least recently used first."""
         return tuple(Part(key, tokens) for key, tokens in self._held.items())
 
     def cached(self, parts: Sequence[Part]) -> int:
-        """Return the tokens at the head of ``parts`` that need no reading here.
+        """Return the number of tokens at the start of a prompt that need no prefill here.
 
-        What is still being read counts: whoever comes after it here finds it.
+        Blocks whose prefill is in progress count: it ends before that of a later
+        request begins.
         """
         return self._head_tokens(parts, ())
 
     def readable(self, parts: Sequence[Part]) -> int:
-        """Return the tokens at the head of ``parts`` that others could fetch."""
+        """Return the number of tokens at the start of a prompt that other runners can fetch."""
         return self._head_tokens(parts, self._reading)
 
     def touch(self, parts: Sequence[Part], reader: str = '') -> None:
-        """Note that the runner uses ``parts``; ``reader`` is still at it."""
+        """Note that the runner uses these blocks; a second argument names the prefill in progress."""
         for part in parts:
             if reader and part.key not in self._held:
                 self._reading[part.key] = reader
@@ -60,16 +62,16 @@
         self._shrink()
 
     def recall(self, parts: Sequence[Part]) -> None:
-        """Note what the runner says it keeps; what is known here already is newer."""
-        newer = self.kept
+        """Add the blocks that the runner reports; those in the model already were used later."""
+        known = self.kept
         self._held = {}
         self._used = 0
         self.touch(parts)
-        self.touch(newer)
+        self.touch(known)
 
     def read(self, reader: str) -> None:
-        """Note that ``reader`` has read its parts."""
-        self._reading = {key: by for key, by in self._reading.items() if by != reader}
+        """Note that a prefill has ended, so that its blocks can be fetched."""
+        self._reading = {key: name for key, name in self._reading.items() if name != reader}
 
     def _shrink(self) -> None:
         while self._used > self._room and self._held:
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/losses.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/losses.py
@@ -1,24 +1,25 @@
-"""How many answers an engine loses, by what all entries see of it lately."""
+"""Share of an engine's answers that are lost, from the observations of all instances."""
 
 from __future__ import annotations
 
-# What was seen so many seconds ago counts half. Troubles of today last for
-# seconds; an engine that is avoided shows nothing new, and comes back by this.
+# Seconds after which an observation counts half. Faults last for seconds. An engine
+# that is avoided gives no new observations, so it gets requests again by this decay.
 HALF_S = 2.0
-# Answers that a sound engine is taken to have given besides: one lost answer
-# may be chance, or the fault of the entry that missed it.
+# Good answers that are assumed besides the observed ones: a single lost answer may be
+# chance, or the fault of the instance that missed it.
 PRIOR_ANSWERS = 4.0
 
 
 class LossMeter:
-    """The share of answers that were lost, the newest ones most.
+    """The share of answers that were lost, with exponential decay.
 
-    One entry sends a request every two seconds to each of 28 engines. Alone,
-    it would find out which of them lose answers when that is over.
+    It needs the observations of all instances: one instance sends a request to each
+    of 28 engines every two seconds only, and the fault would be over before that
+    instance alone could tell which engines lose answers.
     """
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without observations."""
         self._lost: float = 0
         self._all: float = 0
         self._at: float = 0
@@ -30,17 +31,17 @@
         self._lost += lost
 
     def share(self, now: float) -> float:
-        """Return the share that is expected to be lost."""
+        """Return the expected share of lost answers."""
         if not self._lost:
-            # Asked of each engine at each choice, and mostly so.
+            # The usual case; this is called for each engine at each choice.
             return 0
         self._fade(now)
         return self._lost / (self._all + PRIOR_ANSWERS)
 
     def _fade(self, now: float) -> None:
-        kept = 0.5 ** ((now - self._at) / HALF_S)
-        self._lost *= kept
-        self._all *= kept
+        factor = 0.5 ** ((now - self._at) / HALF_S)
+        self._lost *= factor
+        self._all *= factor
         self._at = now
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/paths.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/paths.py
@@ -1,4 +1,4 @@
-"""The ways through a fleet of engines, their estimates, and the best one."""
+"""Placement of requests: which engine prefills, which one decodes, and at what cost."""
 
 from __future__ import annotations
 
@@ -10,85 +10,83 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping, Sequence
 
-# An engine that decodes reads prompts at half the rate of one that only
-# prefills (published by the engines' operator).
+# A decode engine prefills at half the speed of a prefill engine (published by the
+# engines' operator).
 DECODE_SLOWDOWN = 2.0
-# Seconds from sending a prompt's memory to an idle engine to its first token.
+# Seconds from the transfer of a prompt's KV cache to an idle decode engine to its first token.
 SECOND_STEP_S = 0.025
-# Seconds that taking parts of a prompt over from another engine adds besides
-# the transfer.
+# Seconds that fetching prefix blocks from another engine takes besides the transfer.
 FETCH_S = 0.025
-# A transfer between zones takes so many times as long as within one, and the
-# bytes of it are paid for (published by the engines' operator).
+# A transfer between zones takes so many times as long as one within a zone, and its
+# bytes are charged for (published by the engines' operator).
 AWAY_FACTOR = 2.0
-# Runs whose prompts were read elsewhere bring memory that pushes shared parts
-# out of their decode runner. Each step in the order of decode runners costs
-# this many seconds, so that such runs gather at the first ones, and the
-# others keep what they have read.
+# KV cache that is transferred to a decode engine evicts prefix blocks there. Each
+# position in the order of decode engines costs this many seconds, so that requests
+# with a remote prefill gather at the first engines and the others keep their blocks.
 ORDER_S = 0.01
-# What a second of an engine's time costs the requests that will queue behind
-# it, in seconds of waiting.
+# Cost of a second of engine time for the requests queued after it, in seconds of waiting.
 OTHERS_WEIGHT = 1.0
-# An engine's memory that running requests may take. Beyond it engines put
-# requests back and read their prompts again, which costs more than waiting.
+# Share of an engine's memory that running requests may occupy. Beyond it engines
+# preempt requests and prefill them again, which costs more than waiting.
 MEMORY_SHARE = 0.8
-# Share of the free time of a pause that reading may fill without harm; the
-# rest allows for estimates that are off.
+# Share of the spare time of a pause that prefill may fill without harm; the rest
+# allows for errors of the estimates.
 HARMLESS_SHARE = 0.8
-# What being late costs a request whose way is chosen, against one stream that
-# it disturbs: long prompts are worth more than the short ones that most
-# streams have.
+# Cost of a missed deadline of the request to be placed, relative to that of a stream
+# that it disturbs: long prompts are worth more than the short ones of most streams.
 OWN_WEIGHT = 2.0
-# From this share of the time to be on time, a path is taken for late with
-# growing sureness.
+# Up to this share of the time left, a placement counts as on time. Beyond it, the
+# probability that it misses the deadline rises linearly to 1.
 SAFE_SHARE = 0.8
+# Least spare time of a pause, as a share of the longest pause allowed.
 MIN_FREE_SHARE = 0.2
-# Reading at a decode runner slows each answer there by the same time. What
-# that costs, as a share of it for each answer: little while places are free,
-# all of it when they are taken, since each answer then keeps others waiting
-# for its place. Between, as this power of the share of places taken.
+# Prefill at a decode engine delays each answer there by its duration. The cost is a
+# share of that time for each answer: small while slots are free, all of it when none
+# is, since each answer then keeps others waiting for its slot. In between it grows as
+# this power of the share of slots in use.
 SLOWING_SHARE = 0.05
 SLOWING_POWER = 4.0
-# What it costs that reading a prompt apart fails, as a share of the cost of a
-# lost answer: it is read again, somewhat later.
+# Cost of a failed remote prefill, as a share of the cost of a lost answer: the prompt
+# is prefilled again, somewhat later.
 REREAD_SHARE = 0.3
-# What a prompt costs that an engine with a limit reads, against the time until its limit
-# allows the next one: small prompts should leave such places to large ones.
+# Least cost of a prefill at an engine with a rate limit, relative to the time until the
+# limit allows the next request: small prompts should leave such tokens to large ones.
 PLACE_WEIGHT = 2.0
-# The cost of a place that is not free, in seconds: used only if all are so.
+# Cost of an engine without free memory or slots, in seconds. It is high enough that such
+# an engine is used only if all are like that.
 CROWDED_S = 2.0
 
 
 class EngineView(NamedTuple):
-    """What is known of one engine at the moment of choosing.
+    """State of one engine as known when a request is placed.
 
     Parameters
     ----------
     wait_s
-        Until work that comes now would begin.
+        Seconds until a request that is sent now would begin.
     fresh_tokens
-        Prompt tokens that it would have to read.
+        Prompt tokens that it would have to prefill.
     fetch_tokens
-        Prompt tokens that it would take over from another engine.
+        Prompt tokens that it would fetch from another engine.
     streams
-        Answers that it generates and that a pause would make late.
+        Answers in progress that can still meet their deadlines.
     read_lately_s
-        Reading that was sent to it within the length of a pause.
+        Seconds of prefill work that were sent to it within the length of a pause.
     fill
-        Share of its places that are taken.
+        Share of its slots in use.
     crowded
-        Whether it lacks memory or places for one more.
+        Whether it lacks memory or slots for one more request.
     pace
-        Observed over expected times, lately.
+        Recent ratio of observed to expected times.
     order
-        Its place among decode runners in taking prompts read elsewhere.
+        Its position in the order in which decode engines take requests with a remote prefill.
     zone
         Its availability zone.
     lost_share
-        Share of its answers that is lost, as all entries see it lately.
+        Recent share of lost answers, as observed by all instances.
     place_s
-        Seconds of an engine that only reads which one prompt takes at least: until its
-        limit allows the next one; 0 without a limit.
+        For a prefill engine, seconds until its rate limit allows the next request; 0
+        without a limit. A prompt costs at least this time.
     """
 
     runner: str
@@ -108,18 +106,20 @@
 
 
 class Path(NamedTuple):
-    """A way to serve a request.
+    """The runners that serve a request, with the estimated times and cost.
 
     Parameters
     ----------
     prefill
-        Runner that reads the prompt; empty if ``decode`` does it.
+        Runner that prefills the prompt; empty if ``decode`` does that too.
     decode
         Runner that generates the answer.
     first_s
         Expected seconds to the first token.
     work_s
-        Engine seconds it takes at the runner that reads the prompt.
+        Engine seconds of the prefill at the runner that does it.
+    cost
+        Seconds of waiting that placements are compared by.
     """
 
     prefill: str
@@ -130,24 +130,26 @@
 
 
 class Speeds(NamedTuple):
-    """Speeds of the engines of one service, as measured or published.
+    """Speeds of the engines of one service, and the costs that a placement is rated by.
 
     Parameters
     ----------
     reading
-        Of engines that only prefill.
+        Prefill speed of prefill engines.
+    transfer_tokens_s
+        Tokens a second that are transferred between engines of one zone.
     pause_s
-        How long a stream may pause.
+        Longest pause between two events of a stream that is on time, in seconds.
     plain_pause_s
-        How long it pauses at an engine that reads nothing.
+        Pause between two events at an engine that prefills nothing, in seconds.
     late_cost_s
-        What a late answer costs, in seconds of waiting.
-    on_time_s
-        Within this the first token must come; 0 if it is too late for that.
+        Cost of an answer that misses its deadline, in seconds of waiting.
     lost_cost_s
-        What a lost answer costs, in seconds of waiting.
+        Cost of a lost answer, in seconds of waiting.
+    on_time_s
+        Seconds left for the first token to be on time; 0 if that is impossible.
     prefill_price, decode_price
-        What a second of an engine of that stage costs those that wait for
+        Cost of a second of an engine of that stage for the requests that wait for
         one, in seconds of waiting.
     """
 
@@ -163,38 +165,42 @@
 
 
 def best_path(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Path | None:
-    """Return the path of least cost, or None if no engine can decode."""
+    """Return the placement of least cost, or None if there is no decode engine."""
     return min(all_paths(views, speeds, prompt_tokens), key=_cost, default=None)
 
 
 def all_paths(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Iterator[Path]:
-    """Yield whole paths, and for each prefill runner its best second step.
+    """Yield a placement for each decode engine alone, and one for each prefill engine.
 
-    The second step of a path depends on the first only by the transfer, so
-    one decode runner is the best for all prefill runners of a zone.
+    The choice of the decode engine depends on the prefill engine only by the transfer
+    between them, so the same decode engine is the best for all prefill engines of a zone.
     """
     decoders = [view for view in views if view.stage is Stage.decode]
     if not decoders:
         return
-    places = _places(decoders, speeds)
-    near_s = prompt_tokens / speeds.transfer_tokens_s
-    seconds: dict[str, SecondStep] = {}
+    best_decoders = _places(decoders, speeds)
+    transfer_s = prompt_tokens / speeds.transfer_tokens_s
+    decode_steps: dict[str, SecondStep] = {}
     for view in views:
         if view.stage is Stage.prefill:
-            if view.zone not in seconds:
-                seconds[view.zone] = _nearest(places, view.zone, near_s)
-            yield _two_step(view, seconds[view.zone], speeds, prompt_tokens)
+            if view.zone not in decode_steps:
+                decode_steps[view.zone] = _nearest(best_decoders, view.zone, transfer_s)
+            yield _two_step(view, decode_steps[view.zone], speeds, prompt_tokens)
         elif view.stage is Stage.decode:
             yield _whole(view, speeds, prompt_tokens)
 
 
 class SecondStep(NamedTuple):
-    """A place for a prompt that was read elsewhere.
+    """The decode engine for a request with a remote prefill.
 
     Parameters
     ----------
+    cost
+        Cost of the decode there including the transfer, in seconds of waiting.
+    runner
+        Key of the engine.
     transfer_s
-        Seconds that its memory takes to get there.
+        Seconds that the transfer of the KV cache takes.
     """
 
     cost: float
@@ -203,27 +209,29 @@
 
 
 class _Place(NamedTuple):
+    """A decode engine and its cost without the transfer, in seconds of waiting."""
+
     cost: float
     runner: str
 
 
 def best_second_step(decoders: Sequence[EngineView], speeds: Speeds, zone: str, tokens: int) -> SecondStep:
-    """Return the best place for a prompt of ``tokens`` that was read in ``zone``."""
+    """Return the best decode engine for ``tokens`` of KV cache, by the zone of the prefill engine."""
     return _nearest(_places(decoders, speeds), zone, tokens / speeds.transfer_tokens_s)
 
 
 def _whole(view: EngineView, speeds: Speeds, prompt_tokens: int) -> Path:
     work_s = DECODE_SLOWDOWN * view.pace * speeds.reading.read_s(view.fresh_tokens, prompt_tokens)
     first_s = speeds.reading.overhead_s + view.wait_s + work_s + _fetch_s(view, speeds)
-    reading_s = max(view.wait_s, view.read_lately_s)
-    # Reading here stretches the pauses of all streams that run here, and what
-    # was to be read before stretches those of this one.
-    disturbed = view.streams * _late_pause_cost_s(work_s + reading_s, speeds)
-    disturbed += (SLOWING_SHARE + view.fill**SLOWING_POWER) * view.streams * work_s
-    own_pause = _own_pause_cost_s(reading_s, first_s, speeds)
+    earlier_s = max(view.wait_s, view.read_lately_s)
+    # The prefill lengthens the pauses of all streams at this engine, and prefill work
+    # sent earlier lengthens those of this request.
+    others_cost = view.streams * _late_pause_cost_s(work_s + earlier_s, speeds)
+    others_cost += (SLOWING_SHARE + view.fill**SLOWING_POWER) * view.streams * work_s
+    own_cost = _own_pause_cost_s(earlier_s, first_s, speeds)
     cost = first_s + speeds.decode_price * work_s + _late_cost_s(first_s, speeds)
     cost += _crowding_s(view) + view.lost_share * speeds.lost_cost_s
-    return Path('', view.runner, first_s, work_s, cost + disturbed + own_pause)
+    return Path('', view.runner, first_s, work_s, cost + others_cost + own_cost)
 
 
 def _two_step(view: EngineView, second: SecondStep, speeds: Speeds, prompt_tokens: int) -> Path:
@@ -231,7 +239,7 @@
     transfer_s = second.transfer_s + _fetch_s(view, speeds)
     first_s = speeds.reading.overhead_s + view.wait_s + work_s + transfer_s + SECOND_STEP_S
     cost = first_s + second.cost + speeds.prefill_price * max(work_s + transfer_s, PLACE_WEIGHT * view.place_s)
-    # A prompt that was not read can be read elsewhere.
+    # If the prefill fails, another engine can do it.
     cost += REREAD_SHARE * view.lost_share * speeds.lost_cost_s
     return Path(view.runner, second.runner, first_s, work_s, cost + _late_cost_s(first_s, speeds))
 
@@ -241,22 +249,23 @@
 
 
 def _places(decoders: Sequence[EngineView], speeds: Speeds) -> dict[str, _Place]:
-    """Return the best place for a second step in each zone; what it costs does not depend on the first.
+    """Return the best decode engine of each zone; its cost doesn't depend on the prefill engine.
 
-    Worked out anew for each zone of a reader, a choice among 38 engines in six
-    zones took 376 us in place of 331 (the best of six runs each).
+    Computed once for all zones of prefill engines, a choice among 38 engines in six zones
+    takes 331 us; computed for each zone it took 376 us (the best of six runs each).
     """
     best: dict[str, _Place] = {}
     for view in decoders:
-        place = _Place(_second_step_cost(view, speeds), view.runner)
-        best[view.zone] = min(place, best.get(view.zone, place))
+        decoder = _Place(_second_step_cost(view, speeds), view.runner)
+        best[view.zone] = min(decoder, best.get(view.zone, decoder))
     return best
 
 
 def _nearest(places: Mapping[str, _Place], zone: str, near_s: float) -> SecondStep:
-    """Return the best of ``places`` for memory in ``zone`` that takes ``near_s`` within it."""
+    """Return the cheapest decode step for KV cache in ``zone``, with its transfer time within the zone given."""
     return min(
-        _step_to(place, near_s if place_zone == zone else AWAY_FACTOR * near_s) for place_zone, place in places.items()
+        _step_to(decoder, near_s if decode_zone == zone else AWAY_FACTOR * near_s)
+        for decode_zone, decoder in places.items()
     )
 
 
@@ -265,36 +274,36 @@
 
 
 def _second_step_cost(view: EngineView, speeds: Speeds) -> float:
-    """Return what a run whose prompt was read elsewhere suffers here, but for the transfer."""
+    """Return the cost of decoding here after a remote prefill, without the transfer."""
     late_s = _late_pause_cost_s(max(view.wait_s, view.read_lately_s), speeds)
     risk_s = view.lost_share * speeds.lost_cost_s
     return view.wait_s + late_s + risk_s + _crowding_s(view) + ORDER_S * view.order
 
 
 def _late_cost_s(first_s: float, speeds: Speeds) -> float:
-    """Return what a first token after ``first_s`` costs by being late."""
+    """Return the expected cost of a missed deadline if the first token comes after ``first_s``."""
     if speeds.on_time_s <= 0:
         return 0
-    sure = (first_s / speeds.on_time_s - SAFE_SHARE) / (1 - SAFE_SHARE)
-    return OWN_WEIGHT * speeds.late_cost_s * min(max(sure, 0), 1)
+    probability = (first_s / speeds.on_time_s - SAFE_SHARE) / (1 - SAFE_SHARE)
+    return OWN_WEIGHT * speeds.late_cost_s * min(max(probability, 0), 1)
 
 
 def _own_pause_cost_s(reading_s: float, first_s: float, speeds: Speeds) -> float:
-    """Return what pauses cost a request itself: nothing if it is late anyway."""
+    """Return the cost of pauses for the request itself: none if it misses its deadline anyway."""
     return 0 if first_s > speeds.on_time_s else _late_pause_cost_s(reading_s, speeds)
 
 
 def _late_pause_cost_s(read_s: float, speeds: Speeds) -> float:
-    """Return what ``read_s`` of reading costs a stream at the same engine.
+    """Return the expected cost for a stream of some seconds of prefill at the same engine.
 
-    Between two tokens an engine reads a piece of a prompt. A read that fills
-    the time which a pause may take beyond its plain length makes it late.
+    Between two tokens an engine prefills a chunk of a prompt. A prefill that fills
+    the time by which a pause may exceed its usual length makes the stream late.
     """
     free_s = max(speeds.pause_s - speeds.plain_pause_s, MIN_FREE_SHARE * speeds.pause_s)
     if free_s <= 0:
         return 0
-    sure = (read_s / free_s - HARMLESS_SHARE) / (1 - HARMLESS_SHARE)
-    return speeds.late_cost_s * min(max(sure, 0), 1)
+    probability = (read_s / free_s - HARMLESS_SHARE) / (1 - HARMLESS_SHARE)
+    return speeds.late_cost_s * min(max(probability, 0), 1)
 
 
 def _crowding_s(view: EngineView) -> float:
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/prompt.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/prompt.py
@@ -1,4 +1,4 @@
-"""A prompt as its caller describes it: parts that others may share."""
+"""A prompt as its caller describes it, in prefix blocks that other prompts may share."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Part(NamedTuple):
-    """A run of prompt tokens; the same key means the same tokens."""
+    """A prefix block: a sequence of prompt tokens; the same key means the same tokens."""
 
     key: str
-    # Checked where parts come from other processes.
+    # msgspec checks the bound where blocks are received from other processes.
     tokens: Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Prompt(NamedTuple):
-    """The parts of a prompt in order, and the answer's size in tokens.
+    """The prefix blocks of a prompt in order, its length and the longest answer, in tokens.
 
-    The last part is the request's own; those before it may be shared.
+    The last block belongs to this request alone; those before it may be shared.
     """
 
     model: str
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/rate.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/rate.py
@@ -1,56 +1,55 @@
-"""Measuring how fast the engines of a service are."""
+"""Estimators of the prefill speed and the token pauses of the engines of a service."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-# Seconds from sending a prompt to an idle engine to its first word, without
-# the reading itself.
+# Seconds from sending a prompt to an idle engine to its first token, without the prefill.
 FIRST_OVERHEAD_S = 0.035
-# Shorter prompts are mostly overhead, longer ones mostly reading.
+# The time of shorter prompts is mostly overhead, that of longer ones mostly prefill.
 SHORT_TOKENS = 400
 LONG_TOKENS = 1500
-# Reading costs seconds a token, and seconds a pair of a token and one before
-# it: what is believed until the first samples, and how far off that may be.
+# Prefill takes some seconds for each token, and for each pair of a token and an earlier
+# one. These are the initial estimates and their standard deviations.
 FIRST_TOKEN_S = 25e-6
 TOKEN_SPREAD_S = 15e-6
 FIRST_PAIR_S = 0.2e-9
 PAIR_SPREAD_S = 0.2e-9
-# How far speeds may drift from one sample to the next, as a share of the
-# spreads above: slow enough to average some tens of samples.
+# Drift of the speeds from one sample to the next, as a share of the standard deviations
+# above: slow enough to average some tens of samples.
 DRIFT = 0.02
-# A read of known length takes about so much more or less than the model says:
-# seconds, and a share of the time.
+# Standard deviation of a prefill time around the model: seconds, and a share of the time.
 NOISE_S = 0.01
 NOISE_SHARE = 0.1
-# A read that took longer may have waited behind others, which the sample
-# can't tell; one that took shorter proves the speed. Samples that are slower
-# than the noise explains count as if they were this many times as noisy.
+# A prefill that took longer may have waited for others, which the sample doesn't show;
+# one that took less time proves the speed. Samples that are slower than the noise
+# explains count as if their noise were this many times as large.
 SLOW_NOISE = 5.0
-# The overhead follows fast samples soon and slow ones with patience.
+# Gains for samples below and above the estimate: fast samples are followed quickly, slow
+# ones slowly.
 GAIN_FASTER = 0.3
 GAIN_SLOWER = 0.05
-# Seconds between two events of several tokens, until some were seen.
+# Initial estimate of the pause between two events of several tokens, in seconds.
 FIRST_PAUSE_S = 0.04
-# Weight of pauses longer than the plain one. Small, for in a burst nearly all
-# are disturbed, some hundred a second.
+# Weight of pauses longer than the undisturbed one. It is small because in a burst nearly
+# all pauses are disturbed, some hundred a second.
 GAIN_LONG_PAUSE = 0.0005
 
 
 class ReadSpeed(NamedTuple):
-    """How long engines take to read prompts.
+    """How long engines take to prefill prompts.
 
     Parameters
     ----------
     overhead_s
-        From sending a prompt to an idle engine to its first word, without
-        the reading.
+        Seconds from sending a prompt to an idle engine to its first token, without
+        the prefill.
     token_s
-        Seconds for each token that is read.
+        Seconds for each token of the prefill.
     pair_s
-        Seconds for each pair of a token that is read and one before it:
-        attention to what is there already, a fifth of a long read.
+        Seconds for each pair of a token of the prefill and an earlier one. This is the
+        attention to earlier tokens, a fifth of the time of a long prefill.
     """
 
     overhead_s: float = FIRST_OVERHEAD_S
@@ -58,28 +57,28 @@
     pair_s: float = FIRST_PAIR_S
 
     def read_s(self, fresh_tokens: int, prompt_tokens: int) -> float:
-        """Return the seconds to read the last ``fresh_tokens`` of a prompt."""
+        """Return the seconds to prefill the last ``fresh_tokens`` of a prompt."""
         return fresh_tokens * self.token_s + _pairs(fresh_tokens, prompt_tokens) * self.pair_s
 
 
 class SpeedMeter:
-    """The speed of reading prompts, from reads at idle engines.
+    """Estimator of the prefill speed, from prefills at idle engines.
 
-    A Kalman filter over the two costs of reading: the first samples move the
-    guesses nearly all the way, later ones by less and less. (A fixed gain of
-    0.05 for slow samples took a restarted entry some seconds to find that
-    engines read half as fast as guessed; until then it sent them too much.)
+    It is a Kalman filter over the two costs of prefill: the first samples move the
+    initial estimates nearly all the way, later ones by less and less. With a fixed gain
+    of 0.05 for slow samples, a restarted instance took some seconds to find that engines
+    were half as fast as assumed, and sent them too much until then.
     """
 
     def __init__(self) -> None:
-        """Start from the first guesses."""
+        """Start from the initial estimates."""
         self.speed = ReadSpeed()
         self._token_var = TOKEN_SPREAD_S**2
         self._pair_var = PAIR_SPREAD_S**2
         self._covariance: float = 0
 
     def observe(self, fresh_tokens: int, prompt_tokens: int, took_s: float) -> None:
-        """Learn from one read, as at an engine that only prefills."""
+        """Update the estimates by one prefill, with its time as at a prefill engine."""
         read_s = self.speed.read_s(fresh_tokens, prompt_tokens)
         surplus_s = took_s - self.speed.overhead_s - read_s
         if fresh_tokens <= SHORT_TOKENS:
@@ -89,37 +88,37 @@
 
     def _observe_overhead(self, overhead_s: float) -> None:
         gain = GAIN_FASTER if overhead_s < self.speed.overhead_s else GAIN_SLOWER
-        found = self.speed.overhead_s + gain * (max(overhead_s, 0) - self.speed.overhead_s)
-        self.speed = self.speed._replace(overhead_s=found)
+        updated_s = self.speed.overhead_s + gain * (max(overhead_s, 0) - self.speed.overhead_s)
+        self.speed = self.speed._replace(overhead_s=updated_s)
 
     def _observe_read(self, tokens: int, pairs: float, surplus_s: float) -> None:
         self._token_var += (DRIFT * TOKEN_SPREAD_S) ** 2
         self._pair_var += (DRIFT * PAIR_SPREAD_S) ** 2
-        token_lever = self._token_var * tokens + self._covariance * pairs
-        pair_lever = self._covariance * tokens + self._pair_var * pairs
-        known_var = tokens * token_lever + pairs * pair_lever
+        token_covariance = self._token_var * tokens + self._covariance * pairs
+        pair_covariance = self._covariance * tokens + self._pair_var * pairs
+        predicted_var = tokens * token_covariance + pairs * pair_covariance
         noise_s = NOISE_S + NOISE_SHARE * (tokens * self.speed.token_s + pairs * self.speed.pair_s)
-        if surplus_s > math.sqrt(known_var + noise_s**2):
+        if surplus_s > math.sqrt(predicted_var + noise_s**2):
             noise_s *= SLOW_NOISE
-        scale = 1 / (known_var + noise_s**2)
+        inverse_var = 1 / (predicted_var + noise_s**2)
         self.speed = self.speed._replace(
-            token_s=max(self.speed.token_s + token_lever * scale * surplus_s, 0),
-            pair_s=max(self.speed.pair_s + pair_lever * scale * surplus_s, 0),
+            token_s=max(self.speed.token_s + token_covariance * inverse_var * surplus_s, 0),
+            pair_s=max(self.speed.pair_s + pair_covariance * inverse_var * surplus_s, 0),
         )
-        self._token_var -= scale * token_lever**2
-        self._pair_var -= scale * pair_lever**2
-        self._covariance -= scale * token_lever * pair_lever
+        self._token_var -= inverse_var * token_covariance**2
+        self._pair_var -= inverse_var * pair_covariance**2
+        self._covariance -= inverse_var * token_covariance * pair_covariance
 
 
 class PauseMeter:
-    """The pause between two events of a stream that nothing disturbs."""
+    """Estimator of the pause between two events of a stream that no prefill disturbs."""
 
     def __init__(self) -> None:
-        """Start from the first guess."""
+        """Start from the initial estimate."""
         self.plain_s = FIRST_PAUSE_S
 
     def observe(self, pause_s: float) -> None:
-        """Learn from one pause; long ones were disturbed."""
+        """Update the estimate by one pause; long pauses were probably disturbed."""
         gain = GAIN_FASTER if pause_s < self.plain_s else GAIN_LONG_PAUSE
         self.plain_s += gain * (pause_s - self.plain_s)
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and limits, and finding a route."""
+"""Routes, services and limits of the current configuration, and the look-up of a route."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Repeat(Enum):
-    """What may be done again with a request.
+    """How a request may be retried.
 
-    ``freely``: it may run any number of times. ``resume``: a stream that may
-    go on at another runner after the last event that arrived. ``never``: it
-    may run once.
+    ``freely``: it may run any number of times. ``resume``: its stream may
+    continue at another runner after the last event received. ``never``: it
+    may run only once.
     """
 
     freely = 'freely'
@@ -22,29 +22,29 @@
 
 
 class Share(NamedTuple):
-    """A service that takes a share of a route's requests."""
+    """A service that gets a share of the requests of a route, by weight."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """How requests below one path of one host are served.
+    """How requests for one host and path prefix are served.
 
     Parameters
     ----------
     streamed
-        Whether the answer is a series of events.
+        Whether the answer is a stream of events.
     timeout_s
-        How long a caller is kept waiting at the most.
+        Longest time that a caller waits for the answer, in seconds.
     target_s
-        Within this an answer is on time; for a stream, its first event.
+        Seconds within which an answer is on time; for a stream, its first event.
     pause_s
-        The longest pause between two events of a stream that is on time.
+        Longest pause between two events of a stream that is on time, in seconds.
     max_attempts
-        Runners that one request may be sent to.
+        Number of runners that one request may be sent to.
     priority
-        Rank; 0 is the most urgent.
+        Priority; 0 is the most urgent.
     public
         Whether callers need no key.
     """
@@ -64,18 +64,18 @@
 
 
 class EngineFigures(NamedTuple):
-    """What the operator publishes on the engines of a service.
+    """Capacity of an engine of a service, as published by the operator.
 
     Parameters
     ----------
     slots
-        Requests that an engine runs at once.
+        Number of requests that an engine runs at once.
     kv_tokens
-        Tokens that its memory holds.
+        Size of its KV cache, in tokens.
     kv_token_bytes
-        Bytes a token takes in memory and on the link.
+        Bytes of a token in the KV cache and on the link.
     link_bytes_s
-        Bytes a second that its link carries.
+        Bandwidth of its link, in bytes a second.
     """
 
     slots: int
@@ -85,10 +85,14 @@
 
 
 class Service(NamedTuple):
-    """Runners of one kind; ``engine`` is None for plain services.
+    """A group of runners that serve the same requests.
 
-    ``max_conns`` bounds the connections that one runner takes from all
-    instances of the system together.
+    Parameters
+    ----------
+    max_conns
+        Most connections to one runner from all instances of the system together.
+    engine
+        Capacity of an engine; None if the runners are no engines.
     """
 
     name: str
@@ -97,7 +101,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What callers may send, and how long they may take."""
+    """Limits on the size of requests and on the time that callers take to send them."""
 
     head_bytes: int
     body_bytes: int
@@ -106,7 +110,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of what the operator wants; without ``accounts`` all requests are nobody's."""
+    """One version of the operator's configuration; ``accounts`` is None if requests need no key."""
 
     version: int
     routes: dict[str, tuple[Route, ...]]
@@ -123,7 +127,7 @@
         limits: CallerLimits,
         accounts: Accounts | None = None,
     ) -> Configuration:
-        """Index ``routes`` by host, those with the longest prefix first."""
+        """Index ``routes`` by host, with the longest prefixes first."""
         by_host: dict[str, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
@@ -131,7 +135,7 @@
         return cls(version, index, {service.name: service for service in services}, limits, accounts)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or None."""
         for route in self.routes.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
@@ -1,4 +1,4 @@
-"""A runner as it registers itself."""
+"""Registration record of a runner."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from sesamepoint_core.serving.address import Address
 
-# No start of a runner lies later (the year 2286), in milliseconds since 1970.
-# A foreign word of a larger one would make every word of the real runner look
-# older than it, for ever.
+# Upper bound of the start time of a runner, in milliseconds since 1970 (the year 2286).
+# A false message with a later time would make all messages of the real runner look
+# outdated for ever.
 MAX_START_MS = 10_000_000_000_000
-# A start as other processes tell it; 0 if they don't.
+# A start time as received from another process; 0 if it is unknown.
 StartMs = Annotated[int, msgspec.Meta(ge=0, lt=MAX_START_MS)]
 
 
 class Stage(Enum):
-    """What an engine does: read prompts, or generate answers too."""
+    """What an engine does: prefill only, or decode too; ``plain`` runners are no engines."""
 
     prefill = 'prefill'
     decode = 'decode'
@@ -26,18 +26,18 @@
 
 
 class Runner(NamedTuple):
-    """One registered start of a runner.
+    """One registered incarnation of a runner.
 
     Parameters
     ----------
     key
-        Names the runner; it may start again under the same key.
+        Identifies the runner; it keeps its key when it restarts.
     leaving
-        Whether it has said that it will stop.
+        Whether it has announced that it will stop.
     born_ms
-        When this start began, in milliseconds since 1970 by the runner's
-        clock; only compared with other starts of the same runner. 0 if it
-        doesn't tell.
+        Start time of this incarnation, in milliseconds since 1970 by the runner's
+        clock; compared only with those of other incarnations of the same runner. 0
+        if it is unknown.
     """
 
     key: str
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/suspects.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/suspects.py
@@ -1,4 +1,4 @@
-"""Which requests end the runners that run them, by what all instances saw."""
+"""Detection and quarantine of poison requests, from the runner failures that all instances saw."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 from sesamepoint_core.bounded import forget_oldest
 from sesamepoint_core.serving.runner import StartMs
 
-# Runners that ended under a request before it is sent alone only. The first one
-# tells nothing: all that ran there may have done it, or none of it.
+# Number of runners that ended under a request from which on it is sent alone, as a probe.
+# The end of one runner doesn't suffice: any request there may have caused it, or none.
 TRIAL_FROM = 2
-# A quarantined request is tried once more after this time, in seconds: engines
-# get mended, and a sound request may have been at three that ended by
-# themselves. The users bear three more sends of a harmful one; these are a day's.
+# Seconds after which a quarantined request is sent once more: engines get fixed, and a
+# harmless request may have run at three that failed by themselves. The users accept
+# three more sends of a poison request; with 8 hours these are a day's.
 QUARANTINE_S = 28_800.0
-# Requests that are remembered, the longest untouched are forgotten first. Of a
-# hundred ends of engines a day, with 50 requests at each, all are kept.
+# Most requests, and most ended runners, that are remembered; the least recently updated
+# go first. A hundred failed engines a day with 50 requests each fit in.
 REMEMBERED = 8192
 
-# Names that come from other processes are bounded before they are kept.
+# Longest name that is accepted from another process, in characters.
 MAX_NAME = 128
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
 
 
 class Start(NamedTuple):
-    """One run of a runner's process."""
+    """One incarnation of a runner: a run of its process."""
 
     runner: Name
     born_ms: StartMs = 0
 
 
 class Suspects:
-    """Counts the runners that ended under each request.
+    """The runners that ended under each request, and the requests in quarantine.
 
-    A runner's end takes along all that it runs, so each of these requests is
-    suspect. What tells them apart: a sound one is answered elsewhere, and then
-    it is none any more; the harmful one ends whatever runner it runs on, also
-    alone. Once that one is known, the ends that it caused count against no other.
+    A runner that fails ends all requests that run there, so each of them is suspect.
+    A harmless request is answered by another runner and is no suspect from then on. A
+    poison request ends each runner that it runs on, also when it runs alone. Once it
+    is known, the ends that it caused no longer count against other requests.
     """
 
     def __init__(self) -> None:
-        """Suspect nothing."""
+        """Start without suspects."""
         self._starts: dict[str, dict[Start, None]] = {}
         self._ended: dict[Start, None] = {}
         self._explained: dict[Start, None] = {}
         self._since: dict[str, float] = {}
 
     def note_end(self, content_id: str, start: Start) -> int:
-        """Note that a runner ended under a request; returns how many have."""
+        """Note that a runner ended under a request; returns how many have done so."""
         self._ended[start] = None
         forget_oldest(self._ended, REMEMBERED)
         if start in self._explained and content_id not in self._since:
@@ -61,11 +61,11 @@
         return len(starts)
 
     def has_ended(self, start: Start) -> bool:
-        """Tell whether a runner is known to have ended."""
+        """Tell whether an incarnation of a runner is known to have ended."""
         return start in self._ended
 
     def note_served(self, content_id: str) -> bool:
-        """Note that a request was answered whole; tells whether it was suspect."""
+        """Note that a request was answered completely; returns whether it was suspect."""
         self._since.pop(content_id, None)
         return self._starts.pop(content_id, None) is not None
 
@@ -74,7 +74,7 @@
         return len(self._starts.get(content_id, ()))
 
     def count_ends(self) -> int:
-        """Return how many ends of runners count against requests, an end once for each."""
+        """Return the sum over all suspect requests of the runners that ended under them."""
         return sum(len(starts) for starts in self._starts.values())
 
     def starts(self, content_id: str) -> tuple[Start, ...]:
@@ -82,7 +82,7 @@
         return tuple(self._starts.get(content_id, ()))
 
     def needs_trial(self, content_id: str) -> bool:
-        """Tell whether a request may only be sent alone."""
+        """Tell whether a request may only be sent alone, as a probe."""
         return self.ends(content_id) >= TRIAL_FROM
 
     def quarantined(self, content_id: str) -> bool:
@@ -90,18 +90,18 @@
         return content_id in self._since
 
     def quarantine(self, content_id: str, now: float) -> None:
-        """Note that a request ends the runners that run it."""
+        """Put a request in quarantine; the ends that it caused stop counting against others."""
         self._since.setdefault(content_id, now)
         for start in self._starts.get(content_id, ()):
             self._explain(start)
         forget_oldest(self._since, REMEMBERED)
 
     def release(self, content_id: str) -> bool:
-        """End a quarantine; tells whether there was one. The next send is a trial."""
+        """End a quarantine; returns whether there was one. The next send is a probe."""
         return self._since.pop(content_id, None) is not None
 
     def left_s(self, content_id: str, now: float) -> float:
-        """Return how much of its quarantine a request has before it, in seconds."""
+        """Return the rest of the quarantine of a request, in seconds; 0 if there is none."""
         since = self._since.get(content_id)
         return 0 if since is None else max(since + QUARANTINE_S - now, 0)
 
@@ -110,15 +110,15 @@
         return [content_id for content_id, since in self._since.items() if now - since >= QUARANTINE_S]
 
     def all_quarantined(self) -> tuple[str, ...]:
-        """Return the requests that may not be sent."""
+        """Return all requests in quarantine."""
         return tuple(self._since)
 
     def all_suspect(self) -> tuple[str, ...]:
-        """Return the requests under which any runner has ended, the newest last."""
+        """Return the requests under which a runner has ended, the last updated ones last."""
         return tuple(self._starts)
 
     def _explain(self, start: Start) -> None:
-        """Count the end of ``start`` against no request but the quarantined ones."""
+        """Let the end of an incarnation count against quarantined requests only."""
         self._explained[start] = None
         forget_oldest(self._explained, REMEMBERED)
         for content_id, starts in tuple(self._starts.items()):
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/triage.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/triage.py
@@ -1,4 +1,4 @@
-"""Who of those that wait can still be on time, and who stands back for them."""
+"""Which waiting requests can't meet their deadlines."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Turn(NamedTuple):
-    """One waiting request.
+    """A waiting request.
 
     Parameters
     ----------
     due_s
-        Seconds from now by which an engine must be through with it.
+        Seconds from now until an engine must have completed it.
     work_s
         Engine seconds that it takes.
     """
@@ -24,32 +24,32 @@
 
 
 def late_turns(turns: Sequence[Turn], start_s: float, stretch: float) -> set[int]:
-    """Return which of ``turns`` can't be on time, by index.
+    """Return the indices of the requests that can't meet their deadlines.
 
-    Served in the order of arrival, each request of a burst waits until it is
-    just late, and engines work for late answers alone: two thirds of their
-    time, measured. So what can't be on time takes no turn before the others.
-    (To put the longest behind rather than the last, as Moore and Hodgson do,
-    leaves fewer late in one queue. With several entries it served no more on
-    time, and half as many again waited in vain.)
+    If a burst is served in the order of arrival, each request waits until it is just
+    late, and engines work for answers that are late: two thirds of their time, as
+    measured. Therefore requests that can't meet their deadlines aren't served before
+    the others. Putting back the longest request instead of the last one (the algorithm
+    of Moore and Hodgson) leaves fewer late in one queue. With several instances it
+    served no more requests on time, and half as many again waited in vain.
 
     Parameters
     ----------
     turns
-        What waits, in any order.
+        The waiting requests, in any order.
     start_s
         Seconds until an engine is free.
     stretch
-        Seconds that pass for one engine second of this work: less than one
-        if several engines share it, more if others wait for them too.
+        Seconds that one engine second of this work takes: less than one if several
+        engines share it, more if other requests wait for them too.
     """
     late: set[int] = set()
-    ahead_s = start_s
+    elapsed_s = start_s
     for turn, index in sorted(zip(turns, range(len(turns)), strict=True)):
-        if ahead_s + turn.work_s > turn.due_s:
+        if elapsed_s + turn.work_s > turn.due_s:
             late.add(index)
         else:
-            ahead_s += turn.work_s * stretch
+            elapsed_s += turn.work_s * stretch
     return late
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/units.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/units.py
@@ -1,4 +1,4 @@
-"""Conversions between the units that are used inside and those on wires and in logs."""
+"""Conversions between internal units and those of messages, settings and logs."""
 
 from __future__ import annotations
 
--- a/tests/core/serving/__init__.py
+++ b/tests/core/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions on a request."""
+"""Tests of the decisions on requests for upstreams."""
--- a/tests/core/serving/builders.py
+++ b/tests/core/serving/builders.py
@@ -1,4 +1,4 @@
-"""Builders of views on engines and of prompt parts."""
+"""Builders of engine states and prefix blocks for tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sesamepoint_core.serving.rate import ReadSpeed
 from sesamepoint_core.serving.runner import Stage
 
-# The engines of the smaller of today's deployments, as measured there.
+# The engines of the smaller known deployment, as measured there.
 FAST = Speeds(
     reading=ReadSpeed(overhead_s=0.036, token_s=1 / 112_000, pair_s=0),
     transfer_tokens_s=2_500_000,
@@ -17,22 +17,22 @@
     plain_pause_s=0.04,
     late_cost_s=0.4,
 )
-# Those of the larger one: slower at reading, and streams may pause for longer.
+# Those of the larger one: prefill is slower, and streams may pause for longer.
 SLOW = FAST._replace(reading=ReadSpeed(0.036, 1 / 36_700, 0), pause_s=0.25, late_cost_s=0.8)
 
 
 def prefill(runner: str, fresh_tokens: int, **changes: Any) -> EngineView:
-    """Return the view on an engine that only reads prompts."""
+    """Return the state of a prefill engine."""
     return EngineView(runner, Stage.prefill, changes.pop('wait_s', 0), fresh_tokens, **changes)
 
 
 def decode(runner: str, fresh_tokens: int, **changes: Any) -> EngineView:
-    """Return the view on an engine that generates answers."""
+    """Return the state of a decode engine."""
     return EngineView(runner, Stage.decode, changes.pop('wait_s', 0), fresh_tokens, **changes)
 
 
 def parts(*sizes: tuple[str, int]) -> tuple[Part, ...]:
-    """Return prompt parts."""
+    """Return prefix blocks of the given keys and token counts."""
     return tuple(Part(key, tokens) for key, tokens in sizes)
 
 
--- a/tests/core/serving/test_triage.py
+++ b/tests/core/serving/test_triage.py
@@ -1,4 +1,4 @@
-"""Who stands back when not all can be on time."""
+"""Requests that can't meet their deadlines."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def late_in_order(turns: list[Turn]) -> int:
-    """Return how many are late if one engine serves them in this order."""
-    through_s: float = 0
+    """Return how many requests are late if one engine serves them in this order."""
+    elapsed_s: float = 0
     late = 0
     for turn in turns:
-        through_s += turn.work_s
-        late += through_s > turn.due_s
+        elapsed_s += turn.work_s
+        late += elapsed_s > turn.due_s
     return late
 
 
 class LateTurnsTest(TestCase):
-    """Turns of requests that wait for the same engines."""
+    """Requests that wait for the same engines."""
 
     def test_nobody_late(self) -> None:
         self.assertEqual(late_turns([Turn(0.2, 0.1), Turn(0.1, 0.1)], 0, 1), set())
@@ -28,7 +28,7 @@
         self.assertEqual(late_turns([Turn(0.3, 0.2), Turn(0.2, 0.2)], 0, 1), {0})
 
     def test_late_one_takes_no_turn(self) -> None:
-        """One that needs longer than it has must not make the next three late."""
+        """A request that can't meet its deadline must not make the next three late."""
         turns = [Turn(0.2, 0.3), Turn(0.25, 0.1), Turn(0.25, 0.1), Turn(0.35, 0.1)]
         self.assertEqual(late_turns(turns, 0, 1), {0})
 
@@ -36,17 +36,17 @@
         self.assertEqual(late_turns([Turn(0.2, 0.1)], 0.15, 1), {0})
 
     def test_engines_shared(self) -> None:
-        """Two engines do in 0.1 s what takes one 0.2 s; rivals at other entries undo it."""
+        """Two engines do in 0.1 s what takes one engine 0.2 s; requests of other instances cancel this out."""
         turns = [Turn(0.16, 0.1), Turn(0.16, 0.1)]
         self.assertEqual(late_turns(turns, 0, 0.5), set())
         self.assertEqual(len(late_turns(turns, 0, 1)), 1)
 
     def test_one_read_not_shared(self) -> None:
-        """Two engines are idle, but one prompt is read by one of them."""
+        """Two engines are idle, but one prompt is prefilled by only one of them."""
         self.assertEqual(late_turns([Turn(0.33, 0.45)], 0, 0.5), {0})
 
     def test_all_kept_are_on_time(self) -> None:
-        """Two hundred random queues: whoever is not put behind is on time, and more so than in order."""
+        """Two hundred random queues: requests not put back are on time, and no fewer than in order of deadlines."""
         rng = Random(1)
         for _ in range(200):
             turns = [Turn(rng.uniform(0.05, 0.8), rng.uniform(0.01, 0.4)) for _ in range(6)]
--- a/tests/core/test_accounts.py
+++ b/tests/core/test_accounts.py
@@ -1,4 +1,4 @@
-"""Limits per account."""
+"""Rate limits per account."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def granted(limits: AccountLimits, entries: float, seconds: int) -> int:
-    """Ask twenty times a second and count what is granted."""
+    """Count the requests granted out of twenty a second."""
     times = [number / 20 for number in range(seconds * 20)]
     return sum(not limits.wait_s(now, 'a1', RATE, entries) for now in times)
 
 
 class AccountLimitsTest(TestCase):
-    """The rate over all entries."""
+    """The rate over all instances."""
 
     def test_limit_of_one_entry(self) -> None:
         self.assertLessEqual(granted(AccountLimits(), 1, 60), RATE * (60 + BURST_S) + 1)
 
     def test_limit_across_entries(self) -> None:
-        # An account asks at four entries at once, far above its rate. None
-        # of them knows what the others granted; together they keep to it.
+        # An account sends far more than its rate to four instances at once.
+        # They don't exchange what they granted, yet together keep to the rate.
         total = sum(granted(AccountLimits(), 4, 60) for _ in range(4))
         self.assertLessEqual(total, RATE * (60 + BURST_S) + 4)
         self.assertGreater(total, RATE * 55)
--- a/tests/core/test_apply.py
+++ b/tests/core/test_apply.py
@@ -1,4 +1,4 @@
-"""The fold's rules."""
+"""Rules of the fold over the control log."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """Configuration and presets."""
 
     def test_publish_racing_operators(self) -> None:
-        # Two operators start from version 1. Whoever's record lies first on
-        # the log wins; the other is told who won and what to do, since its
-        # file was made without the winner's change.
+        # Two operators publish on top of version 1. The first record on the log
+        # is accepted. The other one is rejected, since its file lacks the accepted
+        # change; the rejection names the other operator and a remedy.
         fold = FoldBuilder()
         fold.add(publish(0))
         first = fold.add(publish(1, operator='bikash'), writer='b')
@@ -37,9 +37,8 @@
         self.assertEqual(fold.state.version, 2)
 
     def test_publish_repeated_append(self) -> None:
-        # The reply to an append is lost and the operator's tool appends the
-        # same record again. Both copies are on the log; the second must not
-        # become one more version.
+        # The reply to an append is lost and the operator's tool appends the same
+        # record again. The second copy on the log must not create another version.
         fold = FoldBuilder()
         payload = encode('tool', 1, publish(0))
         fold.add_payload(payload)
@@ -74,12 +73,12 @@
 
 
 class LeaseTest(TestCase):
-    """Leases and the orders given under them."""
+    """Leases, and orders of lease holders."""
 
     def test_claim_after_renewal(self) -> None:
-        # A process thinks the holder silent and claims, but a renewal was on
-        # its way and lies before the claim. The claim must be void, or two
-        # holders would both be in the right.
+        # A process claims the lease because it has seen no renewal, but a renewal
+        # precedes the claim on the log. The claim must be rejected, or there would
+        # be two valid holders.
         fold = FoldBuilder()
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
         fold.add(RenewLease(FLEET, 0), writer='a')
@@ -88,8 +87,8 @@
         self.assertEqual(fold.state.leases[FLEET].holder, 'a')
 
     def test_order_of_deposed_holder(self) -> None:
-        # A holder is paused, another claims its lease, and the first wakes
-        # up and appends the order it had ready. No engine may ever see it.
+        # A holder is paused, another process claims its lease, then the first one
+        # resumes and appends a prepared order. No engine may receive that order.
         fold = FoldBuilder()
         fold.add(publish(0))
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
@@ -100,8 +99,8 @@
         self.assertEqual(fold.state.orders, {})
 
     def test_order_under_superseded_version(self) -> None:
-        # An order is planned under one preset while an operator switches to
-        # another. It lands after the switch and must have no effect.
+        # An operator switches the preset while an order is planned under the previous
+        # one. The order is appended after the switch and must have no effect.
         fold = FoldBuilder()
         fold.add(publish(0))
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
--- a/tests/core/test_assembly.py
+++ b/tests/core/test_assembly.py
@@ -1,4 +1,4 @@
-"""Putting answers together."""
+"""Assembly of answers from chunks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AssemblerTest(TestCase):
-    """Chunks late, doubled and out of order."""
+    """Chunks that are delayed, duplicated or out of order."""
 
     @settings(derandomize=True, database=None)
     @given(st.integers(1, 12).flatmap(lambda total: st.lists(st.integers(0, total - 1), max_size=40)))
@@ -22,8 +22,8 @@
         self.assertEqual(released, [b'%d' % number for number in range(missing)])
 
     def test_complete_needs_counted_end(self) -> None:
-        # The stream closes after two of three chunks. Without the count the
-        # caller would take two thirds for the whole answer.
+        # The stream closes after two of three chunks. Without the number of chunks
+        # the caller would take them for the whole answer.
         assembler = Assembler()
         assembler.push(0, b'a')
         assembler.push(1, b'b')
--- a/tests/core/test_check.py
+++ b/tests/core/test_check.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration, and the examples that ship."""
+"""Checks of a configuration, and of the examples in the repository."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def problems(**changes: Any) -> tuple[str, ...]:
-    """Return what is wrong with a changed configuration."""
+    """Return the problems found in a changed configuration."""
     return check_configuration(msgspec.json.encode(configuration(**changes)))
 
 
 class CheckTest(TestCase):
-    """One line each, with the path and the remedy."""
+    """Each problem is one line with the path and the remedy."""
 
     def test_good_configuration(self) -> None:
         self.assertEqual(problems(), ())
@@ -39,8 +39,8 @@
         )
 
     def test_duplicate_agent(self) -> None:
-        twins = {'verdict-1': runner(1), 'verdict-2': runner(1)}
-        self.assertIn('also the agent of verdict-1', problems(runners=twins)[0])
+        runners = {'verdict-1': runner(1), 'verdict-2': runner(1)}
+        self.assertIn('also the agent of verdict-1', problems(runners=runners)[0])
 
     def test_floors_above_size(self) -> None:
         fleet = {'kind': 'engine', 'models': [], 'floors': {'prefill': 3}, 'roles': {}, 'engine': engine()}
--- a/tests/core/test_snapshot.py
+++ b/tests/core/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots and the choice among them."""
+"""Snapshots, and the choice of one for a process that joins."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class SnapshotTest(TestCase):
-    """What a joiner starts from."""
+    """Snapshots that a process restores its state from when it joins."""
 
     def test_choose_stale_writer(self) -> None:
-        # A former holder sleeps, its successor writes a snapshot, and the
-        # former one wakes and writes its old state last. A joiner with
-        # nothing to compare it to must not start from the old one.
+        # A former lease holder is suspended, its successor writes a snapshot, then
+        # the former one resumes and writes its old state last. A process that joins
+        # must not start from the old state.
         fold = FoldBuilder()
         old = Snapshot(3, fold.add(publish(0)).state)
         new = Snapshot(9, fold.add(publish(1)).state)
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -1,4 +1,4 @@
-"""Which runners an entry knows."""
+"""The subset of runners that an instance uses."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class SubsetTest(TestCase):
-    """Small fleets whole, large ones in even shares."""
+    """All runners of a small fleet, an even share of a large one."""
 
     def test_subset_small_fleet(self) -> None:
         self.assertEqual(subset('entry-1', LARGE[:9]), LARGE[:9])
 
     def test_subset_every_runner_is_known(self) -> None:
-        # A runner that no entry knew would stand idle; one known to many
-        # more than the others would be overrun.
-        known = Counter(runner for entry in ENTRIES for runner in subset(entry, LARGE))
-        self.assertEqual(set(known), set(LARGE))
-        self.assertLess(max(known.values()), 3 * len(ENTRIES) * SUBSET / len(LARGE))
+        # A runner in no subset would be idle; one in many more subsets than the
+        # others would be overloaded.
+        users = Counter(runner for entry in ENTRIES for runner in subset(entry, LARGE))
+        self.assertEqual(set(users), set(LARGE))
+        self.assertLess(max(users.values()), 3 * len(ENTRIES) * SUBSET / len(LARGE))
 
     def test_subset_runner_withdrawn(self) -> None:
         before = subset('entry-1', LARGE)
--- a/tests/core/test_window_budget.py
+++ b/tests/core/test_window_budget.py
@@ -12,7 +12,7 @@
 
 WINDOW_S = 10.0
 RATIO = 0.16
-# Of 82 extra sends, at 31 entries.
+# Share of one instance of 31 in a reserve of 82 extra sends.
 RESERVE = 82 / 31
 
 
@@ -20,7 +20,7 @@
     """A clock that is set by hand."""
 
     def __init__(self) -> None:
-        """Start at an odd moment, as any clock does."""
+        """Start at an arbitrary time."""
         self.time = 1234.56
 
     def now(self) -> float:
@@ -29,7 +29,7 @@
 
 
 class WindowBudgetTest(TestCase):
-    """What may be sent again."""
+    """Extra sends that the budget allows."""
 
     def setUp(self) -> None:
         """Start with a new budget."""
@@ -37,10 +37,10 @@
         self.budget = WindowBudget(RATIO, RESERVE, WINDOW_S, self.clock.now)
 
     def test_burst_of_failures(self) -> None:
-        """Ten seconds of 7.4 requests a second, then 12 engines' answers are lost within a second.
+        """After ten seconds of 7.4 requests a second, 12 engines lose their answers within a second.
 
-        All of it fits into the window: 74 requests allow 11 extra sends, and
-        the reserve two. Saved up to the reserve alone, 3 were made.
+        The window covers all of it: 74 requests allow 11 extra sends, and the reserve
+        two. With a credit bounded by the reserve alone, 3 were made.
         """
         for _ in range(74):
             self.clock.time += 1 / 7.4
@@ -50,7 +50,7 @@
         self.assertLessEqual(made, RATIO * 74 + RESERVE)
 
     def test_reserve_once(self) -> None:
-        """The reserve is there before any request; it comes back with requests that need nothing, not with time."""
+        """The reserve is full at the start; requests without extra sends refill it, time doesn't."""
         self.assertEqual([self.budget.spend() for _ in range(4)], [True, True, False, False])
         self.clock.time += 2 * WINDOW_S
         self.assertFalse(self.budget.spend())
@@ -59,7 +59,7 @@
         self.assertTrue(self.budget.spend())
 
     def test_charged_beyond(self) -> None:
-        """What happened without asking is counted, and leaves less for others."""
+        """Extra sends that weren't asked for count too, and leave less for others."""
         for _ in range(5):
             self.budget.charge()
         self.assertFalse(self.budget.spend())
@@ -71,7 +71,7 @@
     @given(st.integers(min_value=0, max_value=10**6))
     @settings(max_examples=60, deadline=None, derandomize=True)
     def test_no_window_overspent(self, seed: int) -> None:
-        """In no span of the window's length is more spent than the requests of that span, or the one before, allow."""
+        """In no span of the window's length do extra sends exceed what its requests earn plus the reserve."""
         rng = Random(seed)
         clock = Clock()
         budget = WindowBudget(RATIO, RESERVE, WINDOW_S, clock.now)
