--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
@@ -53,7 +53,7 @@
         return self._head_tokens(parts, self._reading)
 
     def touch(self, parts: Sequence[Part], reader: str = '') -> None:
-        """Note that the runner uses these blocks; a second argument names the prefill in progress."""
+        """Note that the runner uses these blocks; a second argument names their prefill in progress."""
         for part in parts:
             if reader and part.key not in self._held:
                 self._reading[part.key] = reader
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/paths.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/paths.py
@@ -50,7 +50,7 @@
 # is prefilled again, somewhat later.
 REREAD_SHARE = 0.3
 # Least cost of a prefill at an engine with a rate limit, relative to the time until the
-# limit allows the next request: small prompts should leave such tokens to large ones.
+# limit allows the next request: small prompts should leave its permits to large ones.
 PLACE_WEIGHT = 2.0
 # Cost of an engine without free memory or slots, in seconds. It is high enough that such
 # an engine is used only if all are like that.
