--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/__init__.py
@@ -1,1 +1,1 @@
-"""The limits that runners name: what is believed of them, and how instances share them."""
+"""Rate limits that runners report: their known state, and how instances share them."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/belief.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/belief.py
@@ -1,4 +1,4 @@
-"""What is believed of the limit that one start of a runner names."""
+"""Known rate limit of one incarnation of a runner."""
 
 from __future__ import annotations
 
@@ -9,40 +9,41 @@
 from sesamepoint_core.decimals import plain_decimal
 from sesamepoint_core.runner_limit.stamp import Stamp
 
-# More digits name no limit that anybody could mean.
+# Longest text of a rate, in characters; a longer one is rejected as meaningless.
 MAX_TEXT = 32
-# Without a word in this time, in seconds, and answers without one, the limit is over.
+# A limit ends when an answer without one comes at least so many seconds after the last
+# answer that reported it.
 END_AFTER_S = 0.5
-# Until a runner has answered an instance for the first time, that one has no more
-# requests there at a time: it can't know yet whether there is a limit.
+# Most requests of one instance in flight at a runner that has not answered it yet: the
+# instance can't know yet whether there is a limit.
 FIRST_SENDS = 2
-# A runner that takes nothing answers nothing, so nobody would hear that it takes
-# requests again: after so many seconds it gets one, and another after each such time.
+# A runner with a limit of 0 gets no requests, so no answer could report a higher limit:
+# one request is sent as a probe each time so many seconds have passed.
 ZERO_BELIEVED_S = 10.0
-# A limit that has ended grows from there, doubling in this time, in seconds: what
-# made the runner name it may come back with the load.
+# After the end of a limit the allowed rate doubles in this time, in seconds: the cause
+# of the limit may come back with the load.
 DOUBLING_S = 1.0
-# After this many doublings it is dropped.
+# After this many doublings the limit is dropped.
 DOUBLINGS = 6
-# Starts of instances whose newest word is remembered.
+# Incarnations of instances whose newest stamp is remembered.
 REMEMBERED = 2048
-# Requests a second that a limit which has ended grows from at least.
+# Lowest rate, in requests a second, from which an ended limit grows.
 LEAST_AFTER = 1.0
 
 
 class LimitWord(NamedTuple):
-    """The newest word on a runner's limit.
+    """The newest report of a runner's rate limit.
 
     Parameters
     ----------
     origin
-        Who heard it, and when by its own clock.
+        The instance that received it, and when by its own clock.
     rate
         Requests a second from all instances together.
     heard_at
-        When an answer named it last, on this instance's clock.
+        When an answer last reported it, on this instance's clock.
     ended_at
-        When an answer came that named none any more; None while it lasts.
+        When an answer without a limit ended it; None while it is in force.
     """
 
     origin: Stamp
@@ -52,39 +53,39 @@
 
     @property
     def newest_at(self) -> float:
-        """Return when this became known."""
+        """Return when the limit was last reported, or when it ended."""
         return self.heard_at if self.ended_at is None else self.ended_at
 
     @property
     def says(self) -> tuple[float, bool]:
-        """Return the limit, and whether it lasts."""
+        """Return the limit, and whether it is in force."""
         return self.rate, self.ended_at is None
 
 
 class LimitBelief:
-    """Takes in words of answers and of other instances; the newest counts.
+    """The newest limit reported by answers or by peers.
 
-    How long a word was under way is not known, so that a late one seems younger
-    than it is. Each is taken once: told to and fro it would stay young for ever.
+    The transit time of an update is unknown, so a late one seems newer than it is. Each
+    update is therefore accepted once: sent back and forth it would always seem new.
     """
 
     def __init__(self, start: int) -> None:
-        """Know of no limit; ``start`` is the number of this start of the instance."""
+        """Start without a limit, with the number of this incarnation of the instance."""
         self.word: LimitWord | None = None
         self._start = start
         self._seen: dict[int, float] = {}
 
     def named(self, rate: float, now: float) -> bool:
-        """Take the limit of an answer; returns whether it is another one than before."""
+        """Record the limit that an answer reports; return whether it has changed."""
         before = self.word
         self.word = LimitWord(Stamp(self._start, now), rate, now)
         return before is None or before.says != self.word.says
 
     def unnamed(self, sent_at: float, now: float) -> bool:
-        """Take an answer that names none, to a request of ``sent_at``; returns whether the limit has ended.
+        """Record that an answer to a request sent at ``sent_at`` has no limit; return whether this ends the limit.
 
-        Answers overtake each other: one to an earlier request may have been
-        made before the limit was named.
+        Answers can arrive out of order: the answer to an earlier request may have
+        been made before the limit was reported.
         """
         word = self.word
         if word is None or word.ended_at is not None:
@@ -95,7 +96,7 @@
         return True
 
     def told(self, word: LimitWord) -> bool:
-        """Take the word of another instance if it is newer; returns whether it changes what is believed."""
+        """Record the update of a peer if it is newer; return whether the limit has changed."""
         if self._has_seen(word.origin):
             return False
         before = self.word
@@ -105,7 +106,7 @@
         return before is None or before.says != word.says
 
     def allowed(self, now: float) -> float | None:
-        """Return the requests a second that the runner takes from all instances; None if it names no limit."""
+        """Return the rate allowed to all instances together, in requests a second; None without a limit."""
         word = self.word
         if word is None:
             return None
@@ -132,16 +133,16 @@
 
 
 def parse_rate(text: str) -> float:
-    """Return the requests a second that ``text`` names, a plain decimal number.
+    """Parse a rate in requests a second, a plain decimal number.
 
     Raises
     ------
     ValueError
-        If it is anything else.
+        If ``text`` is anything else, or longer than 32 characters.
     """
     rate = plain_decimal(text)
     if len(rate) > MAX_TEXT:
-        raise ValueError('too long for a limit')
+        raise ValueError('limit has too many characters')
     return float(rate)
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/giver.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/giver.py
@@ -1,4 +1,4 @@
-"""Handing out permits for the shares of a limit that are lent to this instance."""
+"""Owner of a rate limit: grants permits from the shares that are leased to this instance."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from sesamepoint_core.runner_limit.words import Ask
 
 
-# Wishes that are not told again are looked through no more often than this, in seconds.
+# Least time between two checks for expired demands, in seconds.
 FORGET_EVERY_S = 0.1
 
 
 class Given(NamedTuple):
-    """One permit for an instance, and when it asked for it, on its own clock."""
+    """One permit for an instance, and when the instance requested it, on its own clock."""
 
     to: str
     asked_at: float
@@ -31,10 +31,10 @@
 
 
 class Giver:
-    """Counts what is lent here, and gives permits to whom they are worth most."""
+    """Counts the shares leased to this instance, and grants permits to the demands of the smallest rank."""
 
     def __init__(self, start: int, phase: float) -> None:
-        """Have nothing lent; ``start`` tells this start of the instance from others."""
+        """Start without leases, with the number of this incarnation and the fraction of the first permit."""
         self._start = start
         self._pacer = Pacer(phase)
         self._loans: dict[str, float] = {}
@@ -43,13 +43,13 @@
         self._forgot_at: float = -math.inf
 
     def stamp(self, now: float) -> Stamp:
-        """Return this instance's clock, for others to lend by."""
+        """Return the time on this instance's clock, from which peers date their leases."""
         return Stamp(self._start, now)
 
     def heard(self, name: str, ask: Ask, instances: int, now: float) -> None:
-        """Take the ask of another instance.
+        """Handle a request of a peer: its lease, its demand and its unused permits.
 
-        Its loan counts from the stamp that it names, not from now: an instance
+        The lease counts from the stamp in the request, not from now: an instance
         that was frozen reads old datagrams when it wakes.
         """
         if ask.lends is not None and ask.lends.start == self._start:
@@ -60,57 +60,60 @@
             self._pacer.put_back(now)
 
     def want(self, name: str, wish: Wish, asked_at: float, now: float) -> None:
-        """Note what an instance wants, in place of what it wanted before."""
+        """Set the demand of an instance, in place of its earlier one."""
         if wish.permits:
             self._wants[name] = _Want(wish, now, asked_at)
         else:
             self._wants.pop(name, None)
 
     def put_back(self, permits: int, now: float) -> None:
-        """Take back permits of this instance itself that it did not use."""
+        """Take back permits that this instance did not use itself."""
         for _ in range(permits):
             self._pacer.put_back(now)
 
     def lent(self, members: frozenset[str], now: float) -> int:
-        """Return how many of ``members`` lend their share here."""
+        """Return how many of ``members`` lease their share to this instance."""
         self._loans = {name: until for name, until in self._loans.items() if until > now}
         return sum(name in members for name in self._loans)
 
     def lends(self, name: str, now: float) -> bool:
-        """Tell whether the share of ``name`` is lent here."""
+        """Return whether the share of the named instance is leased to this one."""
         return self._loans.get(name, -math.inf) > now
 
     def pace(self, rate: float, keep_s: float, now: float) -> None:
-        """Hand out ``rate`` permits a second; what nobody wants is kept for ``keep_s``."""
+        """Set the rate in permits a second, and how many seconds permits without demand are kept."""
         self._pacer.pace(rate, keep_s, now)
 
     def give(self, members: frozenset[str], now: float) -> list[Given]:
-        """Return the permits that go out now."""
+        """Return the permits that are granted now."""
         self._forget(members, now)
-        found = []
+        granted = []
         while self._wants and self._pacer.ready(now):
             self._pacer.take()
-            found.append(self._give_first(now))
-        return found
+            granted.append(self._give_first(now))
+        return granted
 
     def askers(self, name: str, priority: int | None = None) -> int:
-        """Return how many instances want permits as urgently as ``name``, or more so; or at least by ``priority``."""
+        """Return how many instances want permits with at least the given priority.
+
+        Without ``priority`` the priority of the named instance's own demand counts.
+        """
         if priority is None:
             own = self._wants.get(name)
             priority = NOTHING_WAITS.priority if own is None else own.wish.rank.priority
         return sum(want.wish.rank.priority <= priority for want in self._wants.values())
 
     def next_at(self) -> float:
-        """Return when there may be a permit to hand out."""
+        """Return when the next permit may be granted; infinite without demand."""
         return self._pacer.next_at() if self._wants else math.inf
 
     def _give_first(self, now: float) -> Given:
         name = min(self._wants, key=self._turn)
         want = self._wants.pop(name)
         self._given_at[name] = now
-        left = want.wish.permits - 1
-        if left:
-            self._wants[name] = want._replace(wish=want.wish._replace(permits=left))
+        remaining = want.wish.permits - 1
+        if remaining:
+            self._wants[name] = want._replace(wish=want.wish._replace(permits=remaining))
         return Given(name, want.asked_at)
 
     def _turn(self, name: str) -> tuple[object, float]:
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
@@ -1,4 +1,4 @@
-"""One instance's share of a limit: whom it is lent to, and the permits that come of it."""
+"""One instance's share of a rate limit: its lease to the owner of the limit, and the permits granted for it."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
     from sesamepoint_core.runner_limit.stamp import Stamp
     from sesamepoint_core.runner_limit.words import Grant, Told
 
-# A share is lent for this long, in seconds, and lent again three times as often.
+# Length of a lease in seconds, and how many times in a lease it is renewed.
 LEASE_S = 1.5
 RENEWALS = 3
-# With more instances than this their leases grow longer in proportion: of 350 the
-# one that hands out hears 200 a second of those that want nothing.
+# With more instances than this the length of a lease grows in proportion: of 350 instances
+# without demand the owner receives 200 renewals a second.
 FEW = 100
-# An instance that gave no answer for the time of a lease is asked nothing for so long, in seconds.
+# An owner that did not answer for the length of a lease is skipped for so many seconds.
 AVOIDED_S = 6.0
-# A permit may be used for so long after it came, in seconds.
+# How long a permit is valid after it arrived, in seconds.
 PERMIT_S = 1.0
-# Wishes that have changed are told no more often than this, in seconds.
+# Least time between two requests when the demand changes, in seconds.
 ASK_AGAIN_S = 0.02
-# How many want permits is believed for so long, in seconds.
+# How long the reported number of competing instances is used, in seconds.
 RIVALS_S = 2.0
-# The rank of a permit that is wanted before there is a request for it: after all others.
+# Rank of a demand for permits in advance, without a waiting request: after all others.
 NOTHING_WAITS = Rank(1000, 0)
 
 
 class Wish(NamedTuple):
-    """How many permits an instance wants, and the rank of the first request that does."""
+    """How many permits an instance wants, and the rank of the first request that waits for one."""
 
     permits: int
     rank: Rank = NOTHING_WAITS
@@ -50,21 +50,20 @@
 
 
 def lease_s(instances: int) -> float:
-    """Return how long a share is lent for, in seconds; a wish that is not told again lasts as long."""
+    """Return the length of a lease in seconds, after which a demand expires too if it is not sent again."""
     return LEASE_S * max(1, instances / FEW)
 
 
 class Lender:
-    """Lends the share of one instance to one instance at a time.
+    """Leases the share of one instance to one owner at a time, and holds the granted permits.
 
-    The share counts there until the lease is over, by the clock of the one it is
-    lent to, from the moment of the stamp. The lender counts from when it got that
-    stamp, which is later, and uses or lends the share again only then: it is
-    never in use twice, however long words are under way.
+    The owner counts the lease from its own stamp, on its own clock. The lender counts
+    from when it received that stamp, which is later, and uses or leases the share again
+    only after its own count: the share is never used twice, however long messages take.
     """
 
     def __init__(self, name: str, runner: str) -> None:
-        """Lend nothing yet; ``name`` is this instance, and ``runner`` the one with the limit."""
+        """Start without a lease, for the instance ``name`` and the limit of ``runner``."""
         self.target = name
         self._name = name
         self._runner = runner
@@ -74,32 +73,35 @@
         self._asked_at: float = -math.inf
         self._unanswered_since: float | None = None
         self._avoided: dict[str, float] = {}
-        # In the order in which they are asked to hand out; worked out when the members change.
+        # Members in the order in which they are preferred as owner; sorted when they change.
         self._members: Sequence[str] = ()
         self._order: list[str] = []
         self._permits: deque[float] = deque()
         self._unused = 0
         self._told_wish = NOTHING
-        # What was told last of those that wanted as urgently as this instance, by its priority then.
+        # Newest number of instances that compete for permits, by the priority of this instance's demand then.
         self._rivals: dict[int, _Rivals] = {}
 
     @property
     def gives(self) -> bool:
-        """Tell whether it is this instance that hands out, as far as it knows."""
+        """Return whether this instance regards itself as the owner of the limit."""
         return self.target == self._name
 
     def lent(self, now: float) -> bool:
-        """Tell whether the share may be in use elsewhere."""
+        """Return whether the owner may still use the share."""
         return now < self._lent_until
 
     def choose(self, members: Sequence[str], now: float) -> None:
-        """Turn to the first of ``members`` in an order that all know, once the share is with no other one."""
+        """Choose the owner: the first of ``members``, in an order that all instances compute alike.
+
+        The owner changes only when the share is not leased.
+        """
         if self._unanswered_since is not None and now - self._unanswered_since > lease_s(len(members)):
             self._avoided[self.target] = now + AVOIDED_S
-        found = self._first(members, now)
-        if found == self.target or self.lent(now):
+        preferred = self._first(members, now)
+        if preferred == self.target or self.lent(now):
             return
-        self.target = found
+        self.target = preferred
         self._stamp = None
         self._stamp_at = -math.inf
         self._asked_at = -math.inf
@@ -107,7 +109,7 @@
         self._told_wish = NOTHING
 
     def ask(self, wish: Wish, told: Told | None, instances: int, now: float) -> Ask | None:
-        """Return what to tell the one that hands out, if it is time."""
+        """Return the next request to the owner, if one is due."""
         if self.gives or now < self.asks_at(wish, instances):
             return None
         lease = lease_s(instances)
@@ -121,7 +123,7 @@
         return Ask(now, lends, lease, wish.permits, wish.rank, self.take_unused(), told)
 
     def answered(self, sender: str, grant: Grant, instances: int, now: float) -> None:
-        """Take an answer; permits that come long after they were asked for are not used."""
+        """Handle a grant; permits that arrive long after the request are not used."""
         if sender != self.target:
             return
         if self._stamp is None or self._stamp.start != grant.stamp.start or grant.stamp.at > self._stamp.at:
@@ -135,22 +137,22 @@
             self.add(grant.permits, now)
 
     def rivals(self, priority: int, now: float) -> int:
-        """Return how many instances, this one included, want permits as urgently as by ``priority``, or more so.
+        """Return how many instances, this one included, want permits with at least the given priority.
 
-        One, if this instance wanted none as urgently lately, or less urgent ones as well:
-        those give way, so that the next permit is mostly an urgent one's.
+        One, if this instance lately had no demand of that priority, or had a less urgent one
+        as well: less urgent demands yield, so that the next permit mostly goes to an urgent one.
         """
-        fresh = [known for known, told in self._rivals.items() if now - told.at < RIVALS_S]
-        if max(fresh, default=math.inf) > priority:
+        recent = [known for known, report in self._rivals.items() if now - report.at < RIVALS_S]
+        if max(recent, default=math.inf) > priority:
             return 1
-        return self._rivals[max(fresh)].instances
+        return self._rivals[max(recent)].instances
 
     def add(self, permits: int, now: float) -> None:
-        """Take permits."""
+        """Add permits that arrive now."""
         self._permits.extend(repeat(now + PERMIT_S, permits))
 
     def stock(self, now: float) -> int:
-        """Return how many requests may be sent; what has lapsed is given back."""
+        """Return how many permits are valid; expired ones are counted as unused."""
         while self._permits and self._permits[0] <= now:
             self._permits.popleft()
             self._unused += 1
@@ -164,21 +166,21 @@
         return True
 
     def take_unused(self) -> int:
-        """Return the permits that have lapsed since the last time."""
+        """Return the number of permits that have expired since the last call, and reset it."""
         unused = self._unused
         self._unused = 0
         return unused
 
     def drop(self) -> None:
-        """Let go of all permits: the runner takes nothing any more."""
+        """Drop all permits, since the limit has been lowered."""
         self._permits.clear()
 
     def asks_at(self, wish: Wish, instances: int) -> float:
-        """Return when there is something to ask."""
+        """Return when the next request to the owner is due."""
         if self.gives:
             return math.inf
-        must_lend = self._stamp is not None and self._stamp_at > self._asked_at and self._lent_until <= self._stamp_at
-        if must_lend or wish != self._told_wish:
+        must_renew = self._stamp is not None and self._stamp_at > self._asked_at and self._lent_until <= self._stamp_at
+        if must_renew or wish != self._told_wish:
             return self._asked_at + ASK_AGAIN_S
         return self._asked_at + lease_s(instances) / RENEWALS
 
@@ -186,8 +188,8 @@
         if members is not self._members:
             self._members = members
             self._order = sorted(members, key=self._place)
-        able = (name for name in self._order if name == self._name or self._avoided.get(name, 0) <= now)
-        return next(able, self._name)
+        responsive = (name for name in self._order if name == self._name or self._avoided.get(name, 0) <= now)
+        return next(responsive, self._name)
 
     def _place(self, name: str) -> int:
         return zlib.crc32(f'{self._runner} {name}'.encode())
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/pacer.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/pacer.py
@@ -1,4 +1,4 @@
-"""Permits that come at an even rate, and lapse if nobody takes them soon."""
+"""Token bucket that issues permits at an even rate and limits their age."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Pacer:
-    """Brings permits one by one.
+    """Issues permits one by one, and drops those that are not taken in time.
 
-    What is kept is bounded in time and not only in number: hundreds of instances
+    Kept permits are bounded by age and not only by number: hundreds of instances
     that keep one permit each could all use theirs at the same moment.
     """
 
     def __init__(self, phase: float) -> None:
-        """Begin with ``phase``, from 0 to 1, of the first permit."""
+        """Start with the fraction ``phase``, from 0 to 1, of the first permit."""
         self._credit = phase
         self._at: float = 0
         self._rate: float = 0
@@ -22,7 +22,7 @@
         self._born: deque[float] = deque()
 
     def pace(self, rate: float, keep_s: float, now: float) -> None:
-        """Bring ``rate`` permits a second from ``now`` on, and keep each for ``keep_s``."""
+        """Issue ``rate`` permits a second from ``now`` on, and keep each for ``keep_s`` seconds."""
         self._advance(now)
         self._rate = rate
         self._keep_s = keep_s
@@ -32,7 +32,7 @@
             self._born.clear()
 
     def ready(self, now: float) -> int:
-        """Return how many permits may be taken."""
+        """Return how many permits are available."""
         self._advance(now)
         return len(self._born)
 
@@ -41,23 +41,23 @@
         self._born.popleft()
 
     def put_back(self, now: float) -> None:
-        """Take a permit back that was not used, as far as it may still be kept."""
+        """Take back an unused permit, unless the bucket is full."""
         if len(self._born) < max(1, self._rate * self._keep_s):
             self._born.append(now)
 
     def next_at(self) -> float:
-        """Return when the next permit comes."""
+        """Return when the next permit is issued; infinite at a rate of 0."""
         if not self._rate:
             return math.inf
         return self._at + (1 - self._credit) / self._rate
 
     def _advance(self, now: float) -> None:
-        # What came before a long sleep has lapsed, so it is not worked out.
+        # Permits older than the maximum age have expired, so they are not issued at all.
         begin = max(self._at, now - self._keep_s)
-        came = self._credit + self._rate * (now - begin)
-        for number in range(1, math.floor(came) + 1):
+        issued = self._credit + self._rate * (now - begin)
+        for number in range(1, math.floor(issued) + 1):
             self._born.append(begin + (number - self._credit) / self._rate)
-        self._credit = came - math.floor(came)
+        self._credit = issued - math.floor(issued)
         self._at = now
         while self._born and self._born[0] < now - self._keep_s:
             self._born.popleft()
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
@@ -1,10 +1,11 @@
-"""How instances keep the limit of one start of a runner together.
-
-Each instance has an equal share of the limit, and lends it for a short time to one
-instance, the first in an order that all know. That one hands out permits, one for
-each request, at the rate of all shares that are lent to it, to whom they are worth most.
-An instance that can't reach the others uses its own share and no more. So the shares in
-use never add up to more than the limit, whoever is cut off, frozen or gone.
+"""Rate limit of one incarnation of a runner, shared by all instances.
+
+Each instance has an equal share of the limit, and leases it for a short time to the
+owner of the limit: the first instance in an order that all compute alike. The owner
+grants permits, one for each request, at the rate of all shares leased to it, to the
+most urgent demands first. An instance that can't reach the others uses its own share
+and no more. So the shares in use never add up to more than the limit, even if
+instances are disconnected, frozen or gone.
 """
 
 from __future__ import annotations
@@ -20,35 +21,41 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# An instance that has just started does not use its own share for so long, in
-# seconds: the others have not heard of it yet, and share the limit without it.
+# How long an instance does not use its own share after its start, in seconds: its peers
+# do not know it yet, and divide the limit without it.
 UNKNOWN_S = 4.0
-# Permits are kept for so long, in seconds, while the limit was named in this time, and
-# in any case for as long as the limit of all instances takes to bring this many.
+# How long permits are kept, in seconds, while the newest report of the limit is younger
+# than the second number, and how many the whole limit must be able to issue in any case
+# while one is kept.
 KEEP_S = 0.5
 FRESH_S = 1.0
 KEEP_PERMITS = 2.0
-# What is less than this share of a limit needs to be told at once, and permits of the
-# higher one are not used any more.
+# A limit that falls below this share of the former one is announced at once, and permits
+# of the former one are dropped.
 LOWERED = 0.5
-# Those that lend nothing are told again after so much of a lease.
+# Interval at which instances that do not lease their share are sent the limit again, as a
+# share of a lease.
 TELL_AGAIN = 0.5
 
 
 class Sharing:
-    """One instance's part in it; without input or output of its own."""
+    """One instance's part in a shared limit; it does no I/O."""
 
     def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
-        """Know of no limit and of no other instance.
+        """Start without a limit and without peers.
 
         Parameters
         ----------
+        name
+            Of this instance.
+        runner
+            Name of the runner with the limit.
         start
-            A number that no other start of an instance has.
+            Number of this incarnation of the instance; no other incarnation has it.
         own_from
-            From when on this instance may use its own share.
+            Time from which this instance may use its own share.
         phase
-            Drawn from 0 to 1: how far on the first permit is.
+            Random fraction of the first permit that is already issued, from 0 to 1.
         """
         self.belief = LimitBelief(start)
         self._name = name
@@ -60,13 +67,13 @@
         self._own_from = own_from
         self._told_at: float = -math.inf
         self._paced_limit: float = 0
-        # The highest limit that others may go by; infinite if they may know of none.
+        # The highest limit that peers may apply; infinite if they may know of none.
         self._told_limit: float = math.inf
         self._newcomers: set[str] = set()
         self._out: list[Letter] = []
 
     def join(self, others: Iterable[str]) -> None:
-        """Share with these instances: all others that may send to the runner."""
+        """Set the peers that share the limit: all other instances that may send to the runner."""
         members = (self._name, *others)
         if members == self._members:
             return
@@ -77,7 +84,7 @@
             self._newcomers.update(newcomers)
 
     def wish(self, wish: Wish) -> None:
-        """Want these permits from now on, in place of those wanted before."""
+        """Set the demand of this instance, in place of its earlier one."""
         self._wish = wish
 
     def stock(self, now: float) -> int:
@@ -89,29 +96,29 @@
         return self._lender.take(now)
 
     def put_back(self, now: float) -> None:
-        """Give back a permit that was taken and not used."""
+        """Put back a permit that was taken and not used."""
         self._lender.add(1, now)
 
     def expected_rate(self, priority: int, now: float) -> float:
-        """Return the permits a second that this instance may expect for requests of ``priority``."""
+        """Return the permits a second that this instance can expect for requests of ``priority``."""
         rate = self.belief.allowed(now) or 0
         if self._lender.lent(now):
             return rate / self._lender.rivals(priority, now)
         return rate * self._shares(now) / len(self._members) / max(self._giver.askers(self._name, priority), 1)
 
     def heard(self, sender: str, word: Ask | Grant, now: float) -> bool:
-        """Take the word of another instance; returns whether it changes what is believed of the limit."""
+        """Handle a message of a peer; return whether the known limit has changed."""
         changed = word.told is not None and self.belief.told(word.told.word(now))
         if isinstance(word, Ask):
             self._giver.heard(sender, word, len(self._members), now)
-            # It is answered in any case: the answer carries the stamp that it lends by.
+            # Always answered: the sender dates its next lease by the stamp in the answer.
             self._out.append(Letter(sender, self._grant(sender, 0, now, word.asked_at)))
         else:
             self._lender.answered(sender, word, len(self._members), now)
         return changed
 
     def step(self, now: float) -> list[Letter]:
-        """Return all that there is to tell now."""
+        """Update the owner, the rate and the permits; return the messages to send now."""
         self._lender.choose(self._members, now)
         self._pace(now)
         self._hand_out(now)
@@ -119,12 +126,12 @@
         if ask is not None:
             self._out.append(Letter(self._lender.target, ask))
         self._tell(now)
-        found = self._out
+        outgoing = self._out
         self._out = []
-        return found
+        return outgoing
 
     def next_at(self, now: float) -> float:
-        """Return when :meth:`step` is due, if nothing happens before."""
+        """Return when :meth:`step` is due if no message arrives and nothing changes before."""
         asks_at = self._lender.asks_at(self._wish, len(self._members))
         return max(min(self._giver.next_at(), asks_at, self._tells_at()), now)
 
@@ -136,12 +143,12 @@
         self._paced_limit = limit
 
     def _keep_s(self, limit: float, now: float) -> float:
-        """Return how long permits are kept: by a limit that was named long ago there may be a lower one by now."""
-        word = self.belief.word
-        if not limit or word is None:
+        """Return how many seconds permits are kept: less if the newest report is old, as the limit may have fallen."""
+        reported = self.belief.word
+        if not limit or reported is None:
             return 0
-        fresh = now - word.newest_at < FRESH_S
-        return max(KEEP_S if fresh else 0, KEEP_PERMITS / limit)
+        recent = now - reported.newest_at < FRESH_S
+        return max(KEEP_S if recent else 0, KEEP_PERMITS / limit)
 
     def _shares(self, now: float) -> int:
         own = now >= self._own_from and not self._lender.lent(now)
@@ -162,9 +169,10 @@
                 self._out.append(Letter(given.to, self._grant(given.to, 1, now, given.asked_at)))
 
     def _tell(self, now: float) -> None:
-        """Tell all of a limit that begins, ends or falls, newcomers at once, and those that lend nothing ever again.
+        """Announce a limit that begins, ends or falls to all peers.
 
-        Word of it may have been lost, and who does not know of a limit does not ask.
+        New peers get it at once. Peers that do not lease their share get it repeatedly: an
+        announcement may have been lost, and an instance that knows of no limit requests nothing.
         """
         if not self._lender.gives or self.belief.word is None:
             return
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/stamp.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/stamp.py
@@ -1,4 +1,4 @@
-"""Moments on clocks that have nothing to do with each other."""
+"""Timestamps on the clocks of different instances, which can't be compared."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# What peers tell is bounded before it is believed.
+# Bounds on numbers that peers send.
 MAX_TIME = 1e12
 MAX_START = 1_000_000_000_000_000_000
 Moment = Annotated[float, msgspec.Meta(ge=-MAX_TIME, le=MAX_TIME)]
@@ -14,7 +14,7 @@
 
 
 class Stamp(NamedTuple):
-    """A moment on the clock of one start of an instance."""
+    """A time on the clock of one incarnation of an instance."""
 
     start: StartNumber
     at: Moment
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/words.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/words.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the limit of one start of a runner."""
+"""Messages between instances about the rate limit of one incarnation of a runner."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sesamepoint_core.runner_limit.belief import LimitWord
 from sesamepoint_core.runner_limit.stamp import Moment, Stamp
 
-# What peers tell is bounded before it is believed.
+# Bounds on numbers that peers send.
 MAX_RATE = 1e9
 MAX_AGE_S = 1e6
 MAX_COUNT = 100_000
@@ -21,7 +21,7 @@
 
 
 class Told(NamedTuple):
-    """A :class:`LimitWord` as others are told it: by its age, since clocks differ."""
+    """A reported limit as sent to peers: with its age in place of times, since clocks differ."""
 
     origin: Stamp
     rate: Rate
@@ -30,49 +30,49 @@
 
     @classmethod
     def of(cls, word: LimitWord, now: float) -> Told:
-        """Return ``word`` as it is told at ``now``."""
+        """Return the form in which a reported limit is sent at ``now``."""
         rate = min(word.rate, MAX_RATE)
         age_s = min(max(now - word.newest_at, 0), MAX_AGE_S)
         return cls(word.origin, rate, age_s, word.ended_at is not None)
 
     def word(self, now: float) -> LimitWord:
-        """Return what this says, by the clock of who hears it at ``now``."""
+        """Return the reported limit by the clock of the recipient, which receives this at ``now``."""
         at = now - self.age_s
         return LimitWord(self.origin, self.rate, at, at if self.ended else None)
 
 
 class Rank(NamedTuple):
-    """Whose request goes first; least first."""
+    """Order in which requests get permits; the smallest rank goes first."""
 
     priority: Count
-    # Larger requests are worth more; 0 for a request that has not come yet.
+    # Negative, since larger requests are worth more; 0 for a request that has not arrived yet.
     minus_size: Annotated[float, msgspec.Meta(ge=-MAX_SIZE, le=0)]
 
     @classmethod
     def of(cls, priority: int, size: float) -> Rank:
-        """Return the rank of a request; what callers and operators give is cut to what peers take."""
+        """Return the rank of a request, with priority and size cut to the bounds that peers accept."""
         return cls(min(priority, MAX_PRIORITY), -min(size, MAX_SIZE))
 
 
 class Ask(NamedTuple):
-    """An instance lends its share of a limit, and asks for permits.
+    """Leases the share of an instance to the owner of the limit, and requests permits.
 
     Parameters
     ----------
     asked_at
-        On its own clock; it comes back with the answer.
+        Time on the clock of the sender; the grant returns it.
     lends
-        The newest stamp that it got; its share is lent from there on. None if it lends nothing.
+        The newest stamp of the owner, from which the share is leased. None if it is not leased.
     lease_s
-        For how long it is lent, in seconds.
+        Length of the lease in seconds.
     wants
-        How many requests it could send now.
+        How many requests the sender could send now.
     rank
-        That of the first of these.
+        Rank of the first of these.
     unused
-        Permits that it gives back.
+        Permits that the sender returns.
     told
-        The newest word that it knows.
+        The newest report of the limit known to the sender.
     """
 
     asked_at: Moment
@@ -85,20 +85,20 @@
 
 
 class Grant(NamedTuple):
-    """The answer of the instance that hands out what is lent to it.
+    """The answer of the owner of the limit, with permits for the recipient.
 
     Parameters
     ----------
     asked_at
-        Of the newest ask; 0 if this answers none.
+        Time in the newest request of the recipient; 0 if this answers none.
     stamp
-        Its clock.
+        Time on the clock of the owner.
     permits
         How many requests may be sent.
     askers
-        How many instances want permits as urgently as the one that is told, or more so.
+        How many instances want permits with at least the urgency of the recipient.
     told
-        The newest word that it knows.
+        The newest report of the limit known to the owner.
     """
 
     asked_at: Moment
@@ -109,7 +109,7 @@
 
 
 class Letter(NamedTuple):
-    """A word and the instance that it is for."""
+    """A message and the name of its recipient."""
 
     to: str
     word: Ask | Grant
