--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/__init__.py
@@ -1,1 +1,1 @@
-"""A duty that one instance holds at a time, and the reports on use that it is for."""
+"""The duty that one instance holds at a time, and the usage reports that it sends."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
@@ -1,24 +1,24 @@
-"""Who holds a duty: a lease on a log whose records are appended at a known end.
+"""Lease of a duty, on a log that accepts a record only at the expected end.
 
-The platform that the duty is done for does not check fencing numbers, so only
-time keeps two holders apart. All times here are one clock's of one machine, and
-it has to count while the machine sleeps:
+The platform that the duty serves does not check fencing tokens, so only time keeps
+two holders apart. Each machine measures all times here with one clock of its own,
+which must advance while the machine sleeps:
 
 - a holder may act for ``HOLD_S`` from the moment at which it *sent* its newest
   record, if that was accepted;
-- another one may claim if it has seen the log unchanged from the *end* of one
-  reading to the *begin* of another, ``claim_s`` later.
-
-The accepted record was sent before it was seen, so the holder has stopped by
-``claim_s - HOLD_S`` before another one begins. What is appended in between changes
-the end, and then a claim that knows the older end is refused.
-
-After the store came back from an older copy the lease is nobody's, whatever the
-copy shows: an older holder that it names may have been followed by another one.
-A fencing number is the count of these returns and the offset of the claim, which
-is given out once between two of them. Counted on from the newest record, two
-holders had one number: a renewal of the time before may be carried out late, at an
-offset that is given out again, and then it is the newest record.
+- another instance may claim if it has seen the log unchanged from the *end* of one
+  read to the *begin* of another, ``claim_s`` later.
+
+The accepted record was sent before it was seen, so the holder stops ``claim_s - HOLD_S``
+before another one begins. An append in between changes the end of the log, and a
+claim that expects the older end is refused.
+
+After the store was restored from an older copy nobody holds the lease, whatever the
+copy shows: the holder in it may have been followed by another one. A fencing token
+is made of the epoch of the store, which counts these restores, and the offset of the
+claim, which is assigned once in an epoch. With tokens counted on from the newest
+record two holders got the same one: a renewal of the previous epoch may be executed
+late, at an offset that is assigned again, and then it is the newest record.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 import msgspec
 
-# How long a holder may act after it has sent its newest record, in seconds: two
-# renewals may fail.
+# How long a holder may act after it has sent its newest record, in seconds: long enough
+# for two renewals to fail.
 HOLD_S = 2.0
-# More records than a log has in one era: at ten a second it takes three years.
+# More records than a log gets in one epoch: at ten a second it takes three years.
 OFFSETS_OF_ERA = 1_000_000_000
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """The record of a lease; ``holder`` is empty if it was given back."""
+    """The record of a lease; ``holder`` is empty if the lease was released."""
 
     holder: str
     fence: int
@@ -44,7 +44,7 @@
 
 
 class LogView(NamedTuple):
-    """What one reading of the log has found."""
+    """State of the log in one read: the epoch, the end, and the newest lease record."""
 
     era: int
     end: int
@@ -63,10 +63,10 @@
     """
 
     def __init__(self, name: str, claim_s: float) -> None:
-        """Have seen nothing and hold nothing."""
+        """Start without a view of the log and without the lease."""
         self.fence: int | None = None
-        # Whether nobody else can have held it between the newest record of this
-        # instance and the return of the store.
+        # Whether no other instance can have held the lease between the newest record
+        # of this instance and the restore of the store.
         self.unbroken = False
         self._name = name
         self._claim_s = claim_s
@@ -76,28 +76,28 @@
 
     @property
     def end(self) -> int:
-        """Return the end of the log as it was seen last."""
+        """Return the end of the log as last seen."""
         return self._view.end if self._view else 0
 
     @property
     def era(self) -> int:
-        """Return the era of the store as it was seen last."""
+        """Return the epoch of the store as last seen."""
         return self._view.era if self._view else 0
 
     def valid(self, now: float) -> bool:
-        """Tell whether this instance may act."""
+        """Return whether this instance may act as the holder."""
         return self.fence is not None and now < self._sent_at + HOLD_S
 
     def saw(self, view: LogView, now: float) -> None:
-        """Take what a reading found that was over at ``now``."""
+        """Process a read of the log that ended at ``now``."""
         before = self._view
         if before is not None and view.era != before.era:
-            # Whoever claims has seen that record for so long.
+            # Another instance must see the newest record unchanged for this long before it claims.
             self.unbroken = self.fence is not None and now < self._sent_at + self._claim_s
             self.fence = None
         elif before is not None and view.end != before.end and self.fence is None:
-            # Whoever appended may have held it: the newest record does not tell,
-            # it may be a late one of an older era.
+            # The instance that appended may have held the lease. The newest record does
+            # not show it, as that may be a late one of an older epoch.
             self.unbroken = False
         if before is None or (view.era, view.end) != (before.era, before.end):
             self._unchanged_since = now
@@ -106,7 +106,7 @@
             self.lose()
 
     def may_claim(self, read_at: float) -> bool:
-        """Tell whether nobody can act by the newest reading, which began at ``read_at``."""
+        """Return whether no instance can act as holder, by the newest read, which began at ``read_at``."""
         if self._view is None:
             return False
         holding = self._view.holding
@@ -121,13 +121,13 @@
         return Holding(self._name, self.era * OFFSETS_OF_ERA + self.end + 1, self.era)
 
     def appended(self, holding: Holding, end: int, sent_at: float) -> None:
-        """Note that a record of this instance, sent at ``sent_at``, was accepted at ``end``."""
+        """Note that a record of this instance, sent at ``sent_at``, was accepted; the log now ends at ``end``."""
         self._view = LogView(holding.era, end, holding)
         self.fence = holding.fence
         self._sent_at = sent_at
 
     def lose(self) -> None:
-        """Note that somebody else holds it, or nobody."""
+        """Note that this instance does not hold the lease any more."""
         self.fence = None
         self.unbroken = False
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/reports.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/reports.py
@@ -1,4 +1,4 @@
-"""Which window is reported next, and when: without input or output of its own."""
+"""Schedule of the usage reports: which window is reported next, and when. It does no I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 if TYPE_CHECKING:
     from sesamepoint_core.duty.usage import UsageMeter
 
-# Instances tell their counts within this many seconds of the end of a window.
+# Instances send their counts within this many seconds after the end of a window.
 GATHER_S = 0.4
-# Counts that are missing are waited for so long after the end of a window, as a
-# share of the time in which its report is due: the rest is for calls that fail
-# and for a change of the holder.
+# How long missing counts are waited for after the end of a window, as a share of the
+# time in which its report is due: the rest is left for failing calls and for a change
+# of the holder.
 WAIT_SHARE = 0.6
-# A report is not sent any more this many seconds before it is too late.
+# A report is no longer sent from this many seconds before its deadline.
 TOO_LATE_S = 0.3
-# After the store lost what it had acknowledged, no window is reported that may
-# have been before; the clocks of two holders may be that far apart, in seconds.
+# Largest difference between the clocks of two holders, in seconds. After the store lost
+# acknowledged records, no window is reported that may have been reported before.
 CLOCKS_APART_S = 3.0
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True):
-    """What was decided of a window, byte for byte; kept in the store before it is sent."""
+    """The report of a window, byte for byte; it is stored before it is sent."""
 
     window: int
     body: bytes
@@ -46,13 +46,13 @@
 
 
 class Reports:
-    """The course of the reports while this instance holds the duty."""
+    """Schedule of the reports while this instance holds the duty."""
 
     def __init__(self, meter: UsageMeter, times: Times) -> None:
-        """Report nothing yet."""
-        # Decided and not yet accepted.
+        """Start without a report."""
+        # Stored and not yet accepted.
         self.pending: Report | None = None
-        # The newest that this instance has decided or seen decided.
+        # The newest report that this instance has stored or found in the store.
         self.newest: Report | None = None
         self._meter = meter
         self._times = times
@@ -60,36 +60,42 @@
 
     @property
     def next_window(self) -> int:
-        """Return the first window that is not decided yet."""
+        """Return the first window without a stored report."""
         return self._next
 
     def begin(self, found: Report | None, era: int, wall_s: float, *, unbroken: bool) -> None:
-        """Take over the duty with what the store has of it.
+        """Take over the duty with the state in the store.
 
         Parameters
         ----------
         found
             The newest report in the store.
+        era
+            Epoch of the store.
+        wall_s
+            Current time in seconds since 1970.
         unbroken
-            Whether nobody else can have decided anything since this instance did.
+            Whether no other instance can have stored a report since this one did.
         """
-        # A report is sent again, since it may not have been.
+        # The newest report is sent again, since it may not have been sent.
         if unbroken and self.newest is not None:
             self.decided(self.newest)
         elif found is not None and found.era == era:
             self.decided(found)
         else:
-            # The store may have lost the report of any window that has ended.
+            # The store may have lost the report of any window that has ended, so none of them is reported.
             self.pending = None
             self._next = self._meter.window_at(wall_s + CLOCKS_APART_S)
 
     def ready(self, wall_s: float, *, whole: bool) -> int | None:
-        """Return the window that is to be decided now, if there is one.
+        """Return the window whose report is due now, if there is one.
 
         Parameters
         ----------
+        wall_s
+            Current time in seconds since 1970.
         whole
-            Whether all counts of the next window are there.
+            Whether all counts of the next window have arrived.
         """
         while self.too_late(self._next, wall_s):
             self._next += 1
@@ -100,17 +106,17 @@
         return self._next if since_end_s >= wait_s else None
 
     def decided(self, report: Report) -> None:
-        """Note that a report is in the store, and may be sent."""
+        """Note that a report is stored, and may be sent."""
         self.newest = report
         self.pending = report
         self._next = report.window + 1
 
     def done(self) -> None:
-        """Note that the pending report was accepted, or is given up."""
+        """Note that the pending report was accepted or given up."""
         self.pending = None
 
     def too_late(self, window: int, wall_s: float) -> bool:
-        """Tell whether the report of a window would come too late."""
+        """Return whether the report of a window would miss its deadline."""
         return wall_s >= self._meter.end_of(window) + self._times.late_s - TOO_LATE_S
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
@@ -1,8 +1,8 @@
-"""What client accounts used: counted by window of true time at each instance, added up by one.
+"""Usage counts of client accounts by window of wall-clock time, and their totals over all instances.
 
-Counts of one instance only grow, so that a word may come twice, late or never:
-whoever adds up takes the largest for each account. A start of an instance counts
-from nothing again, and is another source.
+Counts of one source only grow, so a message may arrive twice, late or never: the
+instance that adds them up takes the largest for each account. An instance that
+restarts counts from zero again, so each incarnation is a source of its own.
 """
 
 from __future__ import annotations
@@ -13,28 +13,27 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# Windows that are remembered: the one under way, and those whose report may still
-# be due.
+# Number of windows that are kept: the current one, and those whose report may still be due.
 KEPT_WINDOWS = 8
 
 
 class Source(NamedTuple):
-    """One start of one instance."""
+    """One incarnation of one instance, whose counts only grow."""
 
     entry: str
     start: int
 
 
 class UsageMeter:
-    """Counts what began to run through this instance."""
+    """Counts requests that began to run through this instance, by account and window."""
 
     def __init__(self, window_s: float) -> None:
-        """Count by windows of ``window_s``, the first of which began with 1970."""
+        """Count by windows of ``window_s`` seconds, the first of which began with 1970."""
         self._window_s = window_s
         self._counts: dict[int, Counter[str]] = {}
 
     def window_at(self, wall_s: float) -> int:
-        """Return the window of a moment, in seconds since 1970."""
+        """Return the window of a time, in seconds since 1970."""
         return int(wall_s // self._window_s)
 
     def end_of(self, window: int) -> float:
@@ -42,7 +41,7 @@
         return (window + 1) * self._window_s
 
     def count(self, account: str, wall_s: float) -> None:
-        """Count a request that began to run at a moment."""
+        """Count a request that began to run at ``wall_s``, in seconds since 1970."""
         window = self.window_at(wall_s)
         if window not in self._counts:
             self._counts[window] = Counter()
@@ -51,12 +50,12 @@
         self._counts[window][account] += 1
 
     def counts(self, window: int) -> Mapping[str, int]:
-        """Return the counts of a window as of now."""
+        """Return the current counts of a window, by account."""
         return self._counts.get(window, {})
 
 
 class _Window:
-    """What is known of one window, by source."""
+    """Counts of one window by source, and the instances whose counts are complete."""
 
     def __init__(self) -> None:
         self.counts: dict[Source, Counter[str]] = {}
@@ -64,9 +63,9 @@
         self._parts: dict[Source, set[int]] = {}
 
     def add(self, source: Source, counts: Iterable[tuple[str, int]]) -> None:
-        known = self.counts.setdefault(source, Counter())
-        for account, times in counts:
-            known[account] = max(known[account], times)
+        largest = self.counts.setdefault(source, Counter())
+        for account, requests in counts:
+            largest[account] = max(largest[account], requests)
 
     def close(self, source: Source, part: int, parts: int) -> None:
         seen = self._parts.setdefault(source, set())
@@ -76,35 +75,35 @@
 
 
 class Tallies:
-    """What all instances have counted, as far as it is known here."""
+    """Usage counts of all instances, as far as they are known here."""
 
     def __init__(self) -> None:
-        """Know of no counts."""
+        """Start without counts."""
         self._windows: dict[int, _Window] = {}
 
     def add(self, source: Source, window: int, counts: Iterable[tuple[str, int]]) -> None:
-        """Take counts of one source, some or all of them."""
+        """Add some or all counts of one source."""
         self._of(window).add(source, counts)
 
     def close(self, source: Source, window: int, part: int, parts: int) -> None:
-        """Note that the ``part`` of ``parts`` that was added is as it will stay."""
+        """Note that one of ``parts`` messages with the final counts of a source was added."""
         self._of(window).close(source, part, parts)
 
     def missing(self, window: int, entries: Iterable[str]) -> list[str]:
-        """Return the instances whose counts of a window are not whole yet."""
+        """Return the instances whose counts of a window are not complete yet."""
         closed = self._of(window).closed
         return [entry for entry in entries if entry not in closed]
 
     def total(self, window: int) -> dict[str, int]:
-        """Return the counts of all sources together."""
-        found: Counter[str] = Counter()
+        """Return the counts of a window over all sources, by account."""
+        totals: Counter[str] = Counter()
         for counts in self._of(window).counts.values():
-            found.update(counts)
-        return {account: times for account, times in sorted(found.items()) if times}
+            totals.update(counts)
+        return {account: requests for account, requests in sorted(totals.items()) if requests}
 
     def forget_before(self, window: int) -> None:
-        """Drop what is known of earlier windows."""
-        self._windows = {known: found for known, found in self._windows.items() if known >= window}
+        """Drop the counts of windows before ``window``."""
+        self._windows = {number: counts for number, counts in self._windows.items() if number >= window}
 
     def _of(self, window: int) -> _Window:
         if window not in self._windows:
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/belief.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/belief.py
@@ -87,12 +87,12 @@
         Answers can arrive out of order: the answer to an earlier request may have
         been made before the limit was reported.
         """
-        word = self.word
-        if word is None or word.ended_at is not None:
+        reported = self.word
+        if reported is None or reported.ended_at is not None:
             return False
-        if sent_at <= word.heard_at or now - word.heard_at < END_AFTER_S:
+        if sent_at <= reported.heard_at or now - reported.heard_at < END_AFTER_S:
             return False
-        self.word = word._replace(origin=Stamp(self._start, now), ended_at=now)
+        self.word = reported._replace(origin=Stamp(self._start, now), ended_at=now)
         return True
 
     def told(self, word: LimitWord) -> bool:
@@ -107,14 +107,14 @@
 
     def allowed(self, now: float) -> float | None:
         """Return the rate allowed to all instances together, in requests a second; None without a limit."""
-        word = self.word
-        if word is None:
+        reported = self.word
+        if reported is None:
             return None
-        if word.ended_at is not None:
-            return self._after(word, now - word.ended_at)
-        if word.rate == 0 and now - word.heard_at > ZERO_BELIEVED_S:
+        if reported.ended_at is not None:
+            return self._after(reported, now - reported.ended_at)
+        if reported.rate == 0 and now - reported.heard_at > ZERO_BELIEVED_S:
             return 1 / ZERO_BELIEVED_S
-        return word.rate
+        return reported.rate
 
     def _has_seen(self, origin: Stamp) -> bool:
         if origin.start == self._start or origin.at <= self._seen.get(origin.start, -math.inf):
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/giver.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/giver.py
@@ -94,9 +94,9 @@
         return granted
 
     def askers(self, name: str, priority: int | None = None) -> int:
-        """Return how many instances want permits with at least the given priority.
+        """Return how many instances want permits at least as urgently as requests of ``priority``.
 
-        Without ``priority`` the priority of the named instance's own demand counts.
+        Without ``priority`` that of the named instance's demand is taken.
         """
         if priority is None:
             own = self._wants.get(name)
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
@@ -137,10 +137,10 @@
             self.add(grant.permits, now)
 
     def rivals(self, priority: int, now: float) -> int:
-        """Return how many instances, this one included, want permits with at least the given priority.
+        """Return how many instances, this one included, want permits at least as urgently as ``priority``.
 
-        One, if this instance lately had no demand of that priority, or had a less urgent one
-        as well: less urgent demands yield, so that the next permit mostly goes to an urgent one.
+        One, if this instance lately had no demand that urgent, or had a less urgent one as well:
+        less urgent demands yield, so that the next permit mostly goes to an urgent one.
         """
         recent = [known for known, report in self._rivals.items() if now - report.at < RIVALS_S]
         if max(recent, default=math.inf) > priority:
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
@@ -161,12 +161,12 @@
         else:
             self._giver.put_back(self._lender.take_unused(), now)
             self._giver.want(self._name, self._wish, now, now)
-        for given in self._giver.give(self._known, now):
-            if given.to == self._name:
+        for allocated in self._giver.give(self._known, now):
+            if allocated.to == self._name:
                 self._lender.add(1, now)
                 self._wish = self._wish._replace(permits=self._wish.permits - 1)
             else:
-                self._out.append(Letter(given.to, self._grant(given.to, 1, now, given.asked_at)))
+                self._out.append(Letter(allocated.to, self._grant(allocated.to, 1, now, allocated.asked_at)))
 
     def _tell(self, now: float) -> None:
         """Announce a limit that begins, ends or falls to all peers.
@@ -176,8 +176,8 @@
         """
         if not self._lender.gives or self.belief.word is None:
             return
-        word = self.belief.word
-        limit = word.rate if word.ended_at is None else math.inf
+        reported = self.belief.word
+        limit = reported.rate if reported.ended_at is None else math.inf
         changed = limit < LOWERED * self._told_limit or (limit == math.inf) is not (self._told_limit == math.inf)
         unaware = self._newcomers
         self._newcomers = set()
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
@@ -1,1 +1,1 @@
-"""What a runner says of itself in its answers, and what is believed of it."""
+"""Status that runners report in the heads of their answers, and the known status of each."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/belief.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/belief.py
@@ -1,39 +1,40 @@
-"""What is believed of one start of a runner, by what it has said of itself."""
+"""Known status of one incarnation of a runner: draining, and back-off."""
 
 from __future__ import annotations
 
 import math
 
-# When its rest is over a runner gets this many requests of an instance at a time, and
-# twice as many after each such number of seconds: all that waited would be turned away again.
+# Requests of one instance that may be in flight at a runner right after a back-off, and the
+# seconds after which that number doubles: if all waiting requests were sent at once they
+# would be turned away again.
 FIRST_AFTER_REST = 1
 DOUBLING_S = 0.25
-# After this many doublings it is used like any other.
+# After this many doublings the number is unlimited again.
 DOUBLINGS = 6
 
 
 class Belief:
-    """Takes in what an instance is told; without any input or output of its own.
+    """Status of one incarnation of a runner, as known to one instance; it does no I/O.
 
-    Nothing ends the leaving of a start: registrations and answers that do not speak of it
-    may be older. A rest is between the runner and one instance; it gets longer and never
-    shorter.
+    Draining never ends for an incarnation: registrations and answers that do not mention
+    it may be older. A back-off applies between the runner and one instance; it is only
+    ever extended, not shortened.
     """
 
     def __init__(self) -> None:
-        """Believe nothing."""
+        """Start as neither draining nor in a back-off."""
         self.leaving = False
         self._rests_until = -math.inf
         self._hinted_until = -math.inf
 
     def leave(self) -> bool:
-        """Take that it leaves; returns whether that is news."""
-        news = not self.leaving
+        """Mark the runner as draining; return whether it was not marked before."""
+        changed = not self.leaving
         self.leaving = True
-        return news
+        return changed
 
     def rest(self, for_s: float, now: float) -> bool:
-        """Take that it wants nothing for ``for_s`` seconds; returns whether that lasts longer than was known."""
+        """Start a back-off of ``for_s`` seconds; return whether this extends the known one."""
         until = now + for_s
         if until <= max(self._rests_until, now):
             return False
@@ -41,25 +42,25 @@
         return True
 
     def hint(self, for_s: float, now: float) -> bool:
-        """Take that it wants nothing from another instance for ``for_s`` seconds; returns whether that is news."""
-        news = now >= self._hinted_until
+        """Record that a peer was asked to back off for ``for_s`` seconds; return whether no such time was running."""
+        changed = now >= self._hinted_until
         self._hinted_until = max(self._hinted_until, now + for_s)
-        return news
+        return changed
 
     def drop_hint(self) -> None:
-        """Take that it takes requests of this instance."""
+        """Forget the back-off asked of a peer, since the runner accepts requests of this instance."""
         self._hinted_until = -math.inf
 
     def hinted(self, now: float) -> bool:
-        """Tell whether it wants nothing from another instance, so that this one had better ask others."""
+        """Return whether a peer was asked to back off, so that this instance should prefer other runners."""
         return now < self._hinted_until
 
     def rest_left_s(self, now: float) -> float:
-        """Return for how many seconds it still wants nothing."""
+        """Return the remaining seconds of the back-off; 0 if there is none."""
         return max(self._rests_until - now, 0)
 
     def room(self, now: float) -> float:
-        """Return how many requests of this instance it may have at a time; infinite if nothing keeps it from any."""
+        """Return how many requests of this instance may be in flight at the runner; infinite without a bound."""
         since_s = now - self._rests_until
         if since_s < 0:
             return 0
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/texts.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/texts.py
@@ -1,22 +1,22 @@
-"""Reading the texts in which runners say something of themselves."""
+"""Parsers for the texts of status headers."""
 
 from __future__ import annotations
 
 from sesamepoint_core.decimals import plain_decimal
 
-# A runner rests for no longer than this, in seconds, whatever it says: hardly one lives for longer.
+# Longest back-off in seconds, a day; a longer one is cut to it, as hardly a runner lives for longer.
 LONGEST_REST_S = 86_400.0
-# More digits name more than that in any case, and are not turned into a number.
+# A number with more digits before the point is above the longest back-off in any case, and is not parsed.
 MAX_DIGITS = 32
 
 
 def parse_leaving(text: str) -> bool:
-    """Return whether ``text`` says that a runner leaves: 1, or 0 for the opposite.
+    """Return whether ``text`` says that a runner is draining: 1 if so, 0 if not.
 
     Raises
     ------
     ValueError
-        If it is anything else.
+        If ``text`` is anything else.
     """
     stripped = text.strip()
     if stripped not in {'0', '1'}:
@@ -25,12 +25,12 @@
 
 
 def parse_rest(text: str) -> float:
-    """Return the seconds for which ``text`` asks, a plain decimal number, at most :data:`LONGEST_REST_S`.
+    """Parse a back-off in seconds, a plain decimal number; a time longer than a day is cut to a day.
 
     Raises
     ------
     ValueError
-        If it is anything else, as a date or a number with an exponent.
+        If ``text`` is anything else, such as a date or a number with an exponent.
     """
     seconds = plain_decimal(text)
     if len(seconds.partition('.')[0].lstrip('0')) > MAX_DIGITS:
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/words.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/words.py
@@ -1,4 +1,4 @@
-"""The words that a runner may say of itself in an answer, decoded."""
+"""Decoded status headers in the answers of a runner."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 
 @dataclass(frozen=True)
 class Leaves:
-    """It leaves: it wants no new requests from anybody."""
+    """The runner is draining: it accepts no new requests from any instance."""
 
 
 @dataclass(frozen=True)
 class Rests:
-    """It wants nothing from the instance that it answers for ``for_s`` seconds."""
+    """The runner asks the instance that it answers to back off for ``for_s`` seconds."""
 
     for_s: float
 
 
 @dataclass(frozen=True)
 class Limits:
-    """It takes ``rate`` requests a second from all instances together."""
+    """The runner accepts ``rate`` requests a second from all instances together."""
 
     rate: float
 
 
 @dataclass(frozen=True)
 class NoLimit:
-    """A good answer that names no limit, though others of the same runner may."""
+    """A successful answer without a rate limit; other answers of the same runner may report one."""
 
 
 @dataclass(frozen=True)
 class Unreadable:
-    """A text that is no such word; of a long one the beginning.
+    """A header value that does not decode.
 
     Parameters
     ----------
     word
-        The kind of word whose place it has.
+        The kind of header.
+    text
+        The value; if it is long, only its beginning.
     """
 
     word: str
--- a/packages/sesamepoint/src/sesamepoint/front/limit_exchange.py
+++ b/packages/sesamepoint/src/sesamepoint/front/limit_exchange.py
@@ -1,4 +1,4 @@
-"""Keeping the limits of runners together with the other entries."""
+"""Exchange of messages with peers that keeps all instances together within the rate limits of runners."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     from sesamepoint.front.member import Member
     from sesamepoint.front.peers import Peers
 
-# Words of one moment go together: it is looked what there is to tell no more often
-# than this, in seconds.
+# Least time between two rounds of messages, in seconds: messages that become due at the same
+# moment are sent in one round.
 GATHER_S = 0.002
-# How often it is looked which entries may send to a runner with a limit, in seconds.
+# How often the peers that may send to a runner with a limit are read, in seconds.
 JOIN_EVERY_S = 0.25
 
 
 class LimitExchange:
-    """Tells and hears what keeps the sum of all entries' sends under the limits."""
+    """Sends and receives the messages that keep the requests of all instances together within the limits."""
 
     def __init__(self, tools: EngineTools, fleet: Fleet, known: KnownEngines, peers: Peers) -> None:
-        """Work for the requests that wait in ``tools``, with the other entries that ``peers`` knows."""
+        """Serve the requests that wait in ``tools``, with the instances in ``peers``."""
         self._limits = tools.limits
         self._tools = tools
         self._fleet = fleet
@@ -42,7 +42,7 @@
         peers.on_word[GrantWord] = tools.limits.heard
 
     async def run(self) -> None:
-        """Tell what there is to tell, and let waiting requests go, until cancelled."""
+        """Send due messages and release waiting requests until cancelled."""
         self._limits.begin()
         while True:
             self._limits.fresh = trio.Event()
@@ -52,32 +52,34 @@
             await trio.sleep(GATHER_S)
 
     async def _look(self) -> float:
-        """Go through all limits; returns when the next one is due."""
+        """Step all limits; return when the next one is due."""
         due_at = math.inf
-        for start, sharing in self._limits.sharings():
-            member = self._fleet.of_start(start)
+        for incarnation, limit in self._limits.sharings():
+            member = self._fleet.of_start(incarnation)
             if member is None:
-                self._forget(start, 'the runner is gone')
-            elif sharing.belief.allowed(trio.current_time()) is None:
-                self._forget(start, 'it is over')
+                self._forget(incarnation, 'runner is gone')
+            elif limit.belief.allowed(trio.current_time()) is None:
+                self._forget(incarnation, 'limit has ended')
             else:
-                await self._step(member, sharing)
+                await self._step(member, limit)
                 now = trio.current_time()
-                due_at = min(due_at, sharing.next_at(now), now + JOIN_EVERY_S)
-        # Whoever waits has been handed what permits there were, so none is left to run for.
+                due_at = min(due_at, limit.next_at(now), now + JOIN_EVERY_S)
+        # All available permits have been given to waiting requests.
         self._tools.places.let_go()
         return due_at
 
     async def _step(self, member: Member, sharing: Sharing) -> None:
-        start = member.start
+        incarnation = member.start
         now = trio.current_time()
-        self._join(start, sharing, now)
-        self._tools.places.hand_out(start)
-        sharing.wish(self._tools.places.wish(member, self._tools.waiting.wanting(start.runner), sharing.stock(now)))
-        letters = sharing.step(now)
-        self._tools.places.hand_out(start)
-        for letter in letters:
-            await self._tell(start, letter)
+        self._join(incarnation, sharing, now)
+        self._tools.places.hand_out(incarnation)
+        sharing.wish(
+            self._tools.places.wish(member, self._tools.waiting.wanting(incarnation.runner), sharing.stock(now))
+        )
+        messages = sharing.step(now)
+        self._tools.places.hand_out(incarnation)
+        for message in messages:
+            await self._tell(incarnation, message)
 
     async def _tell(self, start: Start, letter: Letter) -> None:
         name = self._peers.name
--- a/packages/sesamepoint/src/sesamepoint/front/limit_words.py
+++ b/packages/sesamepoint/src/sesamepoint/front/limit_words.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of the limits that runners name."""
+"""Messages between instances about the rate limits of runners."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AskWord(msgspec.Struct, frozen=True, array_like=True, tag='limit-ask'):
-    """An entry lends its share of the limit of ``start``, and asks for permits."""
+    """A message that leases the sender's share of a runner's limit, and requests permits."""
 
     entry: str
     start: Start
@@ -17,7 +17,7 @@
 
 
 class GrantWord(msgspec.Struct, frozen=True, array_like=True, tag='limit-grant'):
-    """The entry that hands out permits answers, or tells that there is a limit."""
+    """A message of the limit's owner that grants permits, or announces the limit."""
 
     entry: str
     start: Start
--- a/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
@@ -1,4 +1,4 @@
-"""The limits that runners name in their answers, and the permits to send there."""
+"""Rate limits of all runners, and the permits to send requests to them."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from sesamepoint.front.member import Member
 
 START_BITS = 50
-# A runner may name another limit in each answer; there is one line a runner in
-# this time, in seconds.
+# Least time between two log lines about the limit of one runner, in seconds: each answer
+# may report another one.
 LINE_EVERY_S = 1.0
-# A runner that has not answered yet mostly does so within this time, in seconds.
+# Expected wait for the first answer of a runner, in seconds; most answer within it.
 FIRST_ANSWER_S = 0.1
 
 
 class RunnerLimits:
-    """What is known of the limit of each start of a runner, and what may be sent there."""
+    """Known rate limit of each incarnation of a runner, and the permits for it."""
 
     def __init__(self, entry: str, rng: Random) -> None:
-        """Know of no limit; ``entry`` is this one's name."""
-        # Set when there may be something to tell the others, or somebody to let go.
+        """Start without limits; ``entry`` is the name of this instance."""
+        # Set when there may be a message to send, or a waiting request to release.
         self.fresh = trio.Event()
         self._entry = entry
         self._rng = rng
@@ -43,83 +43,83 @@
         self._lines = _Lines()
 
     def begin(self) -> None:
-        """Note that this instance starts now."""
+        """Note that this instance starts now; it uses its own shares only after a while."""
         self._own_from = trio.current_time() + UNKNOWN_S
 
     def count(self) -> int:
-        """Return how many runners name a limit."""
-        return sum(self.limited(start) for start in self._sharings)
+        """Return how many runners have a limit."""
+        return sum(self.limited(incarnation) for incarnation in self._sharings)
 
     def sharings(self) -> list[tuple[Start, Sharing]]:
-        """Return all limits that are known."""
+        """Return all known limits, also those that have ended and are not dropped yet."""
         return list(self._sharings.items())
 
     def limited(self, start: Start) -> bool:
-        """Tell whether a runner names a limit, or has until lately."""
+        """Return whether a runner has a limit, or one that ended lately and still grows."""
         return self._limiting(start) is not None
 
     def admits(self, member: Member, job: Job) -> bool:
-        """Tell whether ``job`` may be sent to ``member`` now."""
+        """Return whether the limit lets ``job`` be sent to ``member`` now."""
         return member.in_flight < self.room(member) and self.has_permit(member.start, job)
 
     def room(self, member: Member) -> float:
-        """Return how many requests ``member`` may have at a time, as long as it may name a limit any moment."""
+        """Return how many requests may be in flight at ``member``; bounded until it answers or has a known limit."""
         if member.answered or self.limited(member.start):
             return math.inf
         return FIRST_SENDS
 
     def has_permit(self, start: Start, job: Job) -> bool:
-        """Tell whether there is a permit to send ``job`` to a runner, or it takes none."""
-        sharing = self._limiting(start)
-        return sharing is None or start in job.standing.permits or sharing.stock(trio.current_time()) > 0
+        """Return whether there is a permit to send ``job`` to a runner, or none is needed."""
+        limit = self._limiting(start)
+        return limit is None or start in job.standing.permits or limit.stock(trio.current_time()) > 0
 
     def set_aside(self, member: Member, job: Job) -> bool:
-        """Set a permit aside if ``job`` takes one to be sent to ``member``; returns whether it may be."""
-        start = member.start
-        if start in job.standing.permits or self._limiting(start) is None:
+        """Reserve a permit if ``job`` needs one for ``member``; return whether it may be sent."""
+        incarnation = member.start
+        if incarnation in job.standing.permits or self._limiting(incarnation) is None:
             return True
         self.fresh.set()
-        return self.reserve(start, job)
+        return self.reserve(incarnation, job)
 
     def use(self, start: Start, job: Job) -> None:
-        """Use a permit, as ``job`` is sent to the runner of ``start``."""
+        """Use a permit, since ``job`` is sent to the runner."""
         if start in job.standing.permits:
             job.standing.permits.discard(start)
             return
-        sharing = self._limiting(start)
-        if sharing is not None:
-            sharing.take(trio.current_time())
+        limit = self._limiting(start)
+        if limit is not None:
+            limit.take(trio.current_time())
             self.fresh.set()
 
     def reserve(self, start: Start, job: Job) -> bool:
-        """Set a permit aside for ``job``, if there is one."""
-        sharing = self._sharings.get(start)
-        if sharing is None or not sharing.take(trio.current_time()):
+        """Reserve a permit for ``job``; return whether there was one."""
+        limit = self._sharings.get(start)
+        if limit is None or not limit.take(trio.current_time()):
             return False
         job.standing.permits.add(start)
         return True
 
     def give_back(self, job: Job) -> None:
-        """Take back the permits of a job that it has not used."""
-        for start in job.standing.permits:
-            sharing = self._sharings.get(start)
-            if sharing is not None:
-                sharing.put_back(trio.current_time())
+        """Take back the permits that are reserved for ``job`` and not used."""
+        for incarnation in job.standing.permits:
+            limit = self._sharings.get(incarnation)
+            if limit is not None:
+                limit.put_back(trio.current_time())
         job.standing.permits.clear()
 
     def expected_rate(self, start: Start, priority: int) -> float | None:
-        """Return the permits a second that requests of ``priority`` may expect; None if the runner names no limit."""
-        sharing = self._limiting(start)
-        return None if sharing is None else sharing.expected_rate(priority, trio.current_time())
+        """Return the permits a second that requests of ``priority`` can expect; None if the runner has no limit."""
+        limit = self._limiting(start)
+        return None if limit is None else limit.expected_rate(priority, trio.current_time())
 
     def place_s(self, start: Start) -> float:
-        """Return the seconds from one request that the limit of a runner allows to the next; 0 without a limit."""
-        sharing = self._sharings.get(start)
-        rate = sharing.belief.allowed(trio.current_time()) if sharing else None
+        """Return the seconds between two requests at the whole limit of a runner; 0 without one, or at a limit of 0."""
+        limit = self._sharings.get(start)
+        rate = limit.belief.allowed(trio.current_time()) if limit else None
         return 1 / rate if rate else 0
 
     def permit_wait_s(self, member: Member, job: Job) -> float:
-        """Return how long ``job`` may expect to wait for a permit for ``member``."""
+        """Return how many seconds ``job`` can expect to wait for a permit for ``member``."""
         if self.admits(member, job):
             return 0
         rate = self.expected_rate(member.start, job.priority)
@@ -128,49 +128,49 @@
         return 1 / rate if rate else math.inf
 
     def note_named(self, start: Start, rate: float) -> None:
-        """Take the limit that an answer of a runner names."""
+        """Record the limit that an answer of a runner reports."""
         if self._sharing(start).belief.named(rate, trio.current_time()):
             self._lines.told(start, rate, FROM_ANSWER, 0, ended=False)
             self.fresh.set()
 
     def note_silent(self, start: Start, sent_at: float) -> None:
-        """Take that a good answer to a request of ``sent_at`` names no limit of its runner."""
-        sharing = self._sharings.get(start)
-        if sharing is not None and sharing.belief.unnamed(sent_at, trio.current_time()):
+        """Record that a successful answer to a request that was sent at ``sent_at`` reports no limit."""
+        limit = self._sharings.get(start)
+        if limit is not None and limit.belief.unnamed(sent_at, trio.current_time()):
             self._lines.told(start, 0, FROM_ANSWER, 0, ended=True)
             self.fresh.set()
 
     def heard(self, word: AskWord | GrantWord) -> None:
-        """Take the word of another instance."""
-        told = word.word.told
-        if word.start not in self._sharings and (told is None or told.ended):
+        """Handle a message of a peer about a limit."""
+        update = word.word.told
+        if word.start not in self._sharings and (update is None or update.ended):
             return
-        if self._sharing(word.start).heard(word.entry, word.word, trio.current_time()) and told is not None:
-            self._lines.told(word.start, told.rate, word.entry, told.age_s, ended=told.ended)
+        if self._sharing(word.start).heard(word.entry, word.word, trio.current_time()) and update is not None:
+            self._lines.told(word.start, update.rate, word.entry, update.age_s, ended=update.ended)
         self.fresh.set()
 
     def forget(self, start: Start, cause: str) -> None:
-        """Drop what is known of a limit."""
+        """Drop a limit."""
         self._sharings.pop(start, None)
         self._lines.forget(start, cause)
 
     def _limiting(self, start: Start) -> Sharing | None:
-        """Return how the limit of a runner is kept; None if it names none."""
-        sharing = self._sharings.get(start)
-        if sharing is None or sharing.belief.allowed(trio.current_time()) is None:
+        """Return the limit of a runner; None if it has none."""
+        limit = self._sharings.get(start)
+        if limit is None or limit.belief.allowed(trio.current_time()) is None:
             return None
-        return sharing
+        return limit
 
     def _sharing(self, start: Start) -> Sharing:
-        found = self._sharings.get(start)
-        if found is None:
-            found = Sharing(self._entry, start.runner, self._start, self._own_from, self._rng.random())
-            self._sharings[start] = found
-        return found
+        limit = self._sharings.get(start)
+        if limit is None:
+            limit = Sharing(self._entry, start.runner, self._start, self._own_from, self._rng.random())
+            self._sharings[start] = limit
+        return limit
 
 
 class _Lines:
-    """Writes what is learned of limits, bounded for each runner."""
+    """Writes log lines about limits, with a bounded rate for each runner."""
 
     def __init__(self) -> None:
         self._told_at: dict[Start, float] = {}
--- a/packages/sesamepoint/src/sesamepoint/front/runner_news.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_news.py
@@ -1,4 +1,4 @@
-"""Telling the other entries what this one has found out about a runner."""
+"""Updates to peers about runners: replaced, draining, or asking for a back-off."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
     from sesamepoint.front.peers import Peers
     from sesamepoint.front.runner_words import RunnerWords
 
-# A word may get lost, or come to an entry that is cut off: it is told again by who found
-# it out, after so many seconds, then after twice as many since it was found out, until so
-# many have passed. A runner that leaves is there for some seconds more.
+# A message may be lost, or its recipient disconnected, so the instance that found out a fact
+# sends it again: first after so many seconds, then each time at twice the age of the last
+# time, until the second number of seconds has passed. A draining runner stays for some
+# seconds more.
 AGAIN_S = 1.0
 AGAIN_FOR_S = 10.0
-# How often it is looked what is to be told again, in seconds.
+# How often due messages are looked for, in seconds.
 LOOK_S = 0.25
 
 
@@ -37,14 +38,14 @@
 
 
 class RunnerNews:
-    """Tells what this entry found out, and takes in what others did.
+    """Sends what this instance found out about runners, and receives the updates of peers.
 
-    Registrations may say otherwise for seconds, or as long as the store is away. Each
-    entry that does not know would send the runner a request to find out by.
+    Registrations may be outdated for seconds, or for as long as the store is unreachable.
+    Each instance without the update would find out only by sending the runner a request.
     """
 
     def __init__(self, fleet: Fleet, words: RunnerWords, peers: Peers) -> None:
-        """Tell through ``peers`` what ``fleet`` and ``words`` learn from answers."""
+        """Send what ``fleet`` and ``words`` learn from answers to ``peers``."""
         self._fleet = fleet
         self._words = words
         self._peers = peers
@@ -57,34 +58,34 @@
         peers.on_newcomer.append(self.tell_newcomer)
 
     def heard(self, note: RunnerNote) -> None:
-        """Take the word of another entry."""
+        """Handle the update of a peer."""
         if note.fact is RunnerFact.leaving:
             self._words.note_leaving(note.start, note.entry, note.age_s)
             return
         if note.fact is RunnerFact.resting:
             self._words.told_rest(note.start, note.rest_s, note.entry)
             return
-        # Of a start that is not known here it says nothing.
+        # A replacement of an incarnation that is not known here is ignored.
         member = self._fleet.of_start(note.start)
         if member is not None:
             member.note_replaced(note.entry)
 
     def tell_newcomer(self, entry: str) -> None:
-        """Tell an entry that has just registered which runners leave."""
-        for start in self._words.leaving():
-            if self._fleet.of_start(start):
-                self._peers.outbox.tell(RunnerNote(self._peers.name, start, RunnerFact.leaving), entry)
+        """Send an instance that has just registered the runners that are draining."""
+        for incarnation in self._words.leaving():
+            if self._fleet.of_start(incarnation):
+                self._peers.outbox.tell(RunnerNote(self._peers.name, incarnation, RunnerFact.leaving), entry)
 
     async def run(self) -> None:
-        """Tell again what this entry found out, until cancelled."""
+        """Send what this instance finding out again when due, until cancelled."""
         while True:
             await self._somebody.wait()
             await trio.sleep(LOOK_S)
             self._forget()
-            for found, telling in tuple(self._tellings.items()):
-                if trio.current_time() >= telling.due_at:
-                    self._tellings[found] = telling.put_off()
-                    self._tell(found)
+            for finding, announcement in tuple(self._tellings.items()):
+                if trio.current_time() >= announcement.due_at:
+                    self._tellings[finding] = announcement.put_off()
+                    self._tell(finding)
 
     def _note_replaced(self, start: Start) -> None:
         self._note(_Found(start, RunnerFact.replaced))
@@ -93,7 +94,7 @@
         self._note(_Found(start, RunnerFact.leaving))
 
     def _tell_rest(self, start: Start, for_s: float) -> None:
-        """Tell once: the others make use of it, and need not know."""
+        """Send a back-off once: it only helps peers to choose, so it may be lost."""
         self._peers.outbox.tell(RunnerNote(self._peers.name, start, RunnerFact.resting, rest_s=for_s))
 
     def _note(self, found: _Found) -> None:
@@ -108,7 +109,9 @@
 
     def _forget(self) -> None:
         since = trio.current_time() - AGAIN_FOR_S
-        self._tellings = {found: telling for found, telling in self._tellings.items() if telling.found_at > since}
+        self._tellings = {
+            finding: announcement for finding, announcement in self._tellings.items() if announcement.found_at > since
+        }
         if not self._tellings:
             self._somebody = trio.Event()
 
--- a/packages/sesamepoint/src/sesamepoint/front/runner_words.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_words.py
@@ -1,4 +1,4 @@
-"""What runners say of themselves, heard in one place from all their answers."""
+"""Known status of all runners, from the heads of their answers."""
 
 from __future__ import annotations
 
@@ -23,35 +23,36 @@
     from sesamepoint.front.runner_limits import RunnerLimits
     from sesamepoint.http1.messages import ResponseHead
 
-# Starts of runners of which something is remembered; the oldest are forgotten first. A
-# day has some hundred.
+# Number of incarnations of runners whose status is kept; the oldest are dropped first. A day
+# has a few hundred.
 REMEMBERED = 4096
-# A runner may say something that does not decode in each answer; there is one line for
-# each kind of its words in this time, in seconds.
+# Least time between two log lines about an undecodable header of one kind from one runner,
+# in seconds: each answer may have one.
 UNREADABLE_EVERY_S = 10.0
-# Where word of something comes from that this instance has heard itself.
+# The source in log lines for what an answer to this instance reported.
 FROM_ANSWER = 'answer'
-# Of a start that has said nothing; never written to.
+# Status of an incarnation that has reported nothing; never modified.
 NOTHING_SAID = Belief()
 
 
 class RunnerWords:
-    """Folds what answers say into what is believed of each start of a runner."""
+    """Keeps the status of each incarnation of a runner up to date from status headers."""
 
     def __init__(self, limits: RunnerLimits) -> None:
-        """Believe nothing; limits are kept by ``limits``."""
+        """Start without any status; rate limits are kept by ``limits``."""
         self.limits = limits
-        # Called when a start says in an answer that it leaves.
+        # Called when an incarnation reports in an answer that it is draining.
         self.on_leaving: Callable[[Start], None] | None = None
-        # Called when a start asks this instance for so many seconds of rest.
+        # Called when an incarnation asks this instance to back off for so many seconds.
         self.on_rest: Callable[[Start, float], None] | None = None
         self._beliefs: dict[Start, Belief] = {}
         self._unreadable_at: dict[tuple[Start, str], float] = {}
 
     def note_answer(self, start: Start, head: ResponseHead, sent_at: float) -> None:
-        """Take what the head of an answer to a request of ``sent_at`` says of the runner of ``start``.
+        """Process the status headers in the answer to a request that was sent at ``sent_at``.
 
-        If another one has its address by now the words are that one's, known here yet or not.
+        If another runner has the address by now, the headers apply to that one, whether it
+        is already known here or not.
         """
         named = answered_by(head, start.runner)
         if named != start.runner:
@@ -60,33 +61,33 @@
             start = Start(named)
         if start in self._beliefs and head.status != UNAVAILABLE:
             self._beliefs[start].drop_hint()
-        for word in words_of(head):
-            self.take(word, start, sent_at)
+        for header in words_of(head):
+            self.take(header, start, sent_at)
 
     def belief_of(self, start: Start) -> Belief:
-        """Return what is believed of the runner of ``start``, to read."""
+        """Return the known status of an incarnation, for reading only."""
         return self._beliefs.get(start, NOTHING_SAID)
 
     def leaving(self) -> list[Start]:
-        """Return all starts of which that is known, also of such as have gone."""
-        return [start for start, belief in self._beliefs.items() if belief.leaving]
+        """Return all incarnations known to be draining, including those that have gone."""
+        return [incarnation for incarnation, status in self._beliefs.items() if status.leaving]
 
     def forget(self, start: Start) -> None:
-        """Drop what was said by a start that has been followed by another one."""
-        belief = self._beliefs.pop(start, None)
-        if belief is not None:
+        """Drop the status of an incarnation that has been followed by another one."""
+        status = self._beliefs.pop(start, None)
+        if status is not None:
             events.log_event(
                 events.WORDS_FORGOTTEN,
                 runner=start.runner,
                 born_ms=start.born_ms,
-                leaving=belief.leaving,
-                rest_left_s=round(belief.rest_left_s(trio.current_time()), 3),
+                leaving=status.leaving,
+                rest_left_s=round(status.rest_left_s(trio.current_time()), 3),
             )
 
     def note_leaving(self, start: Start, source: str, age_s: float) -> bool:
-        """Take that a runner leaves, as ``source`` heard ``age_s`` seconds before; returns whether that is news."""
-        news = self._belief(start).leave()
-        if news:
+        """Mark a runner as draining, as ``source`` learned ``age_s`` seconds ago; return whether it was not marked."""
+        changed = self._belief(start).leave()
+        if changed:
             events.log_event(
                 events.LEAVING_SAID,
                 runner=start.runner,
@@ -94,17 +95,17 @@
                 source=source,
                 age_s=round(age_s, 3),
             )
-        return news
+        return changed
 
     def told_rest(self, start: Start, for_s: float, source: str) -> None:
-        """Take that a runner has asked another instance for rest."""
+        """Record that a runner has asked the peer ``source`` to back off for ``for_s`` seconds."""
         if self._belief(start).hint(for_s, trio.current_time()):
             events.log_event(events.REST_TOLD, runner=start.runner, born_ms=start.born_ms, for_s=for_s, source=source)
 
     @singledispatchmethod
     def take(self, word: RunnerWord, start: Start, sent_at: float) -> None:
-        """Take one word of the runner of ``start``."""
-        raise NotImplementedError(f'nothing is done with {word!r}; register what is')
+        """Process one status header of a runner, in an answer to a request that was sent at ``sent_at``."""
+        raise NotImplementedError(f'no handler for {word!r} is registered')
 
     @take.register(Leaves)
     def _take_leaves(self, _: Leaves, start: Start, sent_at: float) -> None:
@@ -114,9 +115,9 @@
     @take.register(Rests)
     def _take_rests(self, word: Rests, start: Start, sent_at: float) -> None:
         now = trio.current_time()
-        belief = self._belief(start)
-        known_s = belief.rest_left_s(now)
-        if belief.rest(word.for_s, now):
+        status = self._belief(start)
+        known_s = status.rest_left_s(now)
+        if status.rest(word.for_s, now):
             events.log_event(
                 events.REST_ASKED,
                 runner=start.runner,
@@ -147,13 +148,13 @@
         events.log_event(events.WORD_UNREADABLE, runner=start.runner, word=word.word, text=word.text)
 
     def _belief(self, start: Start) -> Belief:
-        """Return what is believed of ``start``, to add to it."""
-        found = self._beliefs.get(start)
-        if found is None:
-            found = Belief()
-            self._beliefs[start] = found
+        """Return the known status of an incarnation, for modifying; create it if there is none."""
+        status = self._beliefs.get(start)
+        if status is None:
+            status = Belief()
+            self._beliefs[start] = status
             forget_oldest(self._beliefs, REMEMBERED)
-        return found
+        return status
 
 
 __all__ = ('FROM_ANSWER', 'RunnerWords')
