--- a/packages/sesamepoint/src/sesamepoint/front/limit_exchange.py
+++ b/packages/sesamepoint/src/sesamepoint/front/limit_exchange.py
@@ -64,7 +64,7 @@
                 await self._step(member, limit)
                 now = trio.current_time()
                 due_at = min(due_at, limit.next_at(now), now + JOIN_EVERY_S)
-        # All available permits have been given to waiting requests.
+        # All available permits are reserved by now, so the requests released here don't compete for any.
         self._tools.places.let_go()
         return due_at
 
--- a/tests/core/lease_world.py
+++ b/tests/core/lease_world.py
@@ -1,4 +1,4 @@
-"""Instances that want one lease, on a store that delays, loses, repeats history, in steps of time."""
+"""Simulation of instances that compete for one lease, on a store that delays and loses calls and rolls back."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 STEP_S = 0.1
 CLAIM_S = 3.5
-# Calls that get no answer are given up after this time.
+# An instance gives up a call without an answer after this time, in seconds.
 CALL_S = 1.0
-# A call without an answer may be executed so much later.
+# A call without an answer may be executed up to this much later, in seconds.
 LATEST_S = 6.0
 LOST_SHARE = 0.2
 ACT_SHARE = 0.5
@@ -21,7 +21,7 @@
 
 
 class Act(NamedTuple):
-    """Something that an instance did since it took itself for the holder."""
+    """An action of an instance that regarded itself as the holder."""
 
     at: float
     name: str
@@ -46,7 +46,7 @@
     """One instance that reads, claims, renews and acts when it may."""
 
     def __init__(self, name: str, world: LeaseWorld) -> None:
-        """Know nothing."""
+        """Start without a view of the log and without the lease."""
         self.lease = Lease(name, CLAIM_S)
         self.name = name
         self.awake_at: float = 0
@@ -55,7 +55,7 @@
         self._must_read = True
 
     def step(self, now: float) -> None:
-        """Do one thing."""
+        """Act if the lease allows it, then begin a call or end the pending one."""
         if now < self.awake_at:
             return
         self._act(now)
@@ -99,7 +99,8 @@
         if taken and self._world.era_of[call] == call.holding.era:
             unbroken = self.lease.fence is None and self.lease.unbroken
             self.lease.appended(call.holding, call.end + 1, call.sent)
-            # Told of its claim so late that another one may have followed, it may not act.
+            # If the answer to the claim came so late that another holder may have followed, this
+            # instance may not act.
             if unbroken and self.lease.valid(now):
                 self._world.claims_unbroken(self.name, now)
         else:
@@ -107,7 +108,7 @@
 
 
 class LeaseWorld:
-    """The store and its instances."""
+    """The simulated store and its instances."""
 
     def __init__(self, seed: int, instances: int = 3) -> None:
         """Draw everything from ``seed``."""
@@ -123,7 +124,7 @@
         self._instances = [Instance(f'i{number}', self) for number in range(instances)]
 
     def play(self, steps: int) -> None:
-        """Play so many steps of time."""
+        """Run the given number of time steps."""
         for step in range(steps):
             now = step * STEP_S
             self._execute(now)
@@ -135,15 +136,15 @@
                 instance.step(now)
 
     def view(self) -> LogView:
-        """Return what a reading finds."""
+        """Return the state of the log, as a read finds it."""
         return LogView(self._era, len(self._log), self._log[-1] if self._log else None)
 
     def delay_s(self) -> float:
-        """Return how long an answer takes."""
+        """Return the random delay of a call or an answer, in seconds."""
         return self.rng.choice((0, 0, STEP_S, 0.8))
 
     def send(self, now: float, end: int, holding: Holding) -> _Append:
-        """Send a record; it may get lost, or its answer may."""
+        """Send a record; it may be executed late, or its answer may be lost."""
         executed = now + self.delay_s()
         answered: float | None = executed + self.delay_s()
         if self.rng.random() < LOST_SHARE:
@@ -154,31 +155,31 @@
         return call
 
     def claims_unbroken(self, name: str, now: float) -> None:
-        """Note that an instance takes nobody else to have acted since it did."""
+        """Note a claim of an instance that assumes no other one has acted since it did."""
         self.unbroken_claims += 1
         if self.acts and self.acts[-1].name != name:
             self.false_claims.append(f'{name} at {now} after {self.acts[-1]}')
 
     def broken(self, turns_s: float) -> list[str]:
-        """Return what holders must not do and have done."""
-        found = self.false_claims.copy()
-        highest = 0
+        """Return violations of the rules for holders: order of tokens, one holder a token, no quick turns."""
+        violations = self.false_claims.copy()
+        highest_fence = 0
         holder_of: dict[int, str] = {}
-        newest: dict[str, float] = {}
+        last_acted_at: dict[str, float] = {}
         for index, act in enumerate(self.acts):
-            if act.fence < highest:
-                found.append(f'{act} after fencing number {highest}')
-            highest = max(highest, act.fence)
+            if act.fence < highest_fence:
+                violations.append(f'{act} after fencing number {highest_fence}')
+            highest_fence = max(highest_fence, act.fence)
             if holder_of.setdefault(act.fence, act.name) != act.name:
-                found.append(f'{act} with the number of {holder_of[act.fence]}')
-            before = self.acts[index - 1].name if index else act.name
-            if before != act.name and act.at - newest.get(act.name, -turns_s) < turns_s:
-                found.append(f'{act} in turns with {before}')
-            newest[act.name] = act.at
-        return found
+                violations.append(f'{act} with the number of {holder_of[act.fence]}')
+            previous = self.acts[index - 1].name if index else act.name
+            if previous != act.name and act.at - last_acted_at.get(act.name, -turns_s) < turns_s:
+                violations.append(f'{act} in turns with {previous}')
+            last_acted_at[act.name] = act.at
+        return violations
 
     def _execute(self, now: float) -> None:
-        due = [one for one in self._under_way if one.executed <= now]
+        due = [call for call in self._under_way if call.executed <= now]
         for call in due:
             self._under_way.remove(call)
             self.taken[call] = call.end == len(self._log)
--- a/tests/core/runner_limit/faults.py
+++ b/tests/core/runner_limit/faults.py
@@ -1,4 +1,4 @@
-"""Instances that share a limit under random faults, and what users would count.
+"""Random faults in a simulation of instances that share a rate limit.
 
 Run by hand: python -m tests.core.runner_limit.faults FIRST-SEED LAST-SEED
 """
@@ -29,10 +29,10 @@
 
 
 class LimitFaults:
-    """One deployment and its faults, by lot."""
+    """A simulated deployment and a random sequence of faults."""
 
     def __init__(self, seed: int, new_way: NewWay = Sharing) -> None:
-        """Draw all from ``seed``."""
+        """Draw the size, the load and all faults from ``seed``."""
         self.world = LimitWorld(seed, new_way)
         self._rng = Random(f'f{seed}')
         self._size = self._rng.choice(SIZES)
@@ -52,7 +52,7 @@
         )
 
     def play(self) -> float:
-        """Play to the end; returns by how many requests the worst span was over the bound."""
+        """Run to the end; return by how many requests the worst time span exceeded the bound."""
         self.world.run(BEGIN_S)
         self.world.name_limit(self._rng.choice(FIRST_LIMITS))
         while self.world.now < LENGTH_S:
@@ -101,7 +101,7 @@
 
 
 def main() -> None:
-    """Play a span of seeds and print what breaks."""
+    """Run a range of seeds and print by how much each exceeds the bound."""
     for seed in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
         excess = LimitFaults(seed).play()
         sys.stdout.write(f'seed {seed}: {"kept" if excess <= 0 else f"{excess:.0f} too many"}\n')
--- a/tests/core/runner_limit/test_belief.py
+++ b/tests/core/runner_limit/test_belief.py
@@ -1,4 +1,4 @@
-"""What is believed of a runner's limit."""
+"""Known rate limit of a runner."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 
 
 class ParseTest(TestCase):
-    """Texts that may name a limit."""
+    """Parsing of the text of a limit."""
 
     def test_decimal_number(self) -> None:
-        """Guards against limits that are named well and not read."""
+        """Guards against valid limits that are rejected or misread."""
         self.assertEqual([parse_rate(text) for text in ('6.8', ' 7 ', '0', '.5', '2.')], [6.8, 7, 0, 0.5, 2])
 
     def test_no_number(self) -> None:
-        """Guards against limits read from texts that name none."""
+        """Guards against limits parsed from invalid texts."""
         for text in NO_RATES:
             with self.subTest(text=text), self.assertRaises(ValueError):
                 parse_rate(text)
 
 
 class BeliefTest(TestCase):
-    """Words of answers and of other instances."""
+    """Reports of answers and updates of peers."""
 
     def setUp(self) -> None:
-        """Know of a limit since second 10."""
+        """Report a limit at second 10."""
         self.belief = LimitBelief(1)
         self.belief.named(6.8, 10)
 
     def test_newest_answer_counts(self) -> None:
-        """Guards against a limit that stays as it was named first."""
+        """Guards against a limit that stays as it was first reported."""
         self.assertTrue(self.belief.named(3, 11))
         self.assertEqual(self.belief.allowed(11), 3)
 
     def test_answer_to_an_earlier_request(self) -> None:
-        """Guards against the end of a limit by an answer that was under way when it was named."""
+        """Guards against a limit that is ended by an answer to a request sent before the limit was reported."""
         self.assertFalse(self.belief.unnamed(9.9, 12))
         self.assertEqual(self.belief.allowed(12), 6.8)
 
     def test_answers_with_and_without(self) -> None:
-        """Guards against the end of a limit that is named in some answers only."""
+        """Guards against the end of a limit that only some answers report."""
         self.assertFalse(self.belief.unnamed(10.1, 10 + END_AFTER_S / 2))
 
     def test_filled_gradually_after_the_end(self) -> None:
@@ -61,22 +61,22 @@
         self.assertIsNone(self.belief.allowed(12.1 + DOUBLINGS))
 
     def test_zero_takes_nothing(self) -> None:
-        """Guards against requests to a runner that takes none, and against one that is never asked again."""
+        """Guards against requests to a runner with a limit of 0, and against one that is never probed again."""
         self.belief.named(0, 11)
         self.assertEqual(self.belief.allowed(11 + ZERO_BELIEVED_S / 2), 0)
         self.assertEqual(self.belief.allowed(11.1 + ZERO_BELIEVED_S), 1 / ZERO_BELIEVED_S)
 
     def test_word_of_a_peer(self) -> None:
-        """Guards against an older word of a peer that replaces what was heard since."""
+        """Guards against an older update of a peer that replaces a newer report."""
         self.assertFalse(self.belief.told(LimitWord(Stamp(2, 500), 30, 9)))
         self.assertTrue(self.belief.told(LimitWord(Stamp(2, 501), 30, 11)))
         self.assertEqual(self.belief.allowed(11), 30)
 
     def test_word_told_to_and_fro(self) -> None:
-        """Guards against an old word that seems young, since it was long under way and told again."""
-        old = LimitWord(Stamp(2, 500), 30, 11)
-        self.belief.told(old)
+        """Guards against an update update that seems new, since it was long in transit or was sent back."""
+        update = LimitWord(Stamp(2, 500), 30, 11)
+        self.belief.told(update)
         self.belief.named(1, 12)
-        self.assertFalse(self.belief.told(old._replace(heard_at=13)))
+        self.assertFalse(self.belief.told(update._replace(heard_at=13)))
         self.assertFalse(self.belief.told(LimitWord(Stamp(1, 10), 6.8, 14)))
         self.assertEqual(self.belief.allowed(14), 1)
--- a/tests/core/runner_words/__init__.py
+++ b/tests/core/runner_words/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what is believed of runners by their own words."""
+"""Tests of the known status of runners."""
--- a/tests/core/runner_words/test_belief.py
+++ b/tests/core/runner_words/test_belief.py
@@ -1,8 +1,8 @@
-"""What an instance sends to a runner that leaves and rests, by what it believes.
+"""Known status of a runner, and the requests that it allows during draining and back-off.
 
-Users count the requests that reach it from an instance later than 2 s after this one was
-told that it leaves, and those between half a second after it was asked for rest and the
-end of that time: none, and two.
+The bounds for requests from one instance: none later than 2 s after the runner reported
+to it that it is draining, and at most two between half a second after the runner asked
+it to back off and the end of the back-off.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass
 class Side:
-    """A runner and one instance; answers take their time, and overtake each other."""
+    """A runner and one instance; answers arrive late and out of order."""
 
     belief: Belief = field(default_factory=Belief)
     now: float = 0
@@ -35,7 +35,7 @@
     rests: list[tuple[float, float]] = field(default_factory=list)
 
     def send(self) -> bool:
-        """Send a request if the beliefs let it go."""
+        """Send a request if the known status allows it."""
         if self.belief.leaving or self.under_way >= self.belief.room(self.now):
             return False
         self.under_way += 1
@@ -43,42 +43,42 @@
         return True
 
     def rest(self, for_s: float) -> None:
-        """Answer a request with 503 and a time of rest."""
+        """Answer a request with 503 and a back-off."""
         self.rests.append((self.now, for_s))
         self.belief.rest(for_s, self.now)
         self.under_way = max(self.under_way - 1, 0)
 
     def leave(self) -> None:
-        """Answer a request, and say that it leaves."""
+        """Answer a request, and report draining."""
         self.leaving_at = min(self.leaving_at, self.now)
         self.belief.leave()
         self.under_way = max(self.under_way - 1, 0)
 
     def broken(self) -> list[str]:
-        """Return what users would count."""
-        found = [f'leaving: sent at {at}' for at in self.sent_at if at > self.leaving_at + DRAIN_S]
+        """Return the violations of the bounds."""
+        violations = [f'leaving: sent at {at}' for at in self.sent_at if at > self.leaving_at + DRAIN_S]
         for asked_at, for_s in self.rests:
             sent = [at for at in self.sent_at if asked_at + REST_FROM_S < at < asked_at + for_s]
-            found.extend(['rest: too many'] if len(sent) > REST_MOST else [])
-        return found
+            violations.extend(['rest: too many'] if len(sent) > REST_MOST else [])
+        return violations
 
 
 class SendMachine(RuleBasedStateMachine):
-    """Answers without words, sends and time, in any order."""
+    """Requests, answers without status headers and passing time, in any order."""
 
     @initialize()
     def begin(self) -> None:
-        """Start without words."""
+        """Start without any status."""
         self.side = Side()
 
     @rule()
     def answer(self) -> None:
-        """Answer a request, and say nothing."""
+        """Answer a request without a status header."""
         self.side.under_way = max(self.side.under_way - 1, 0)
 
     @rule(requests=st.integers(1, 30))
     def send(self, requests: int) -> None:
-        """Have that many requests, all at one moment."""
+        """Try to send that many requests at one moment."""
         for _ in range(requests):
             self.side.send()
 
@@ -89,87 +89,87 @@
 
     @invariant()
     def kept(self) -> None:
-        """What users count is kept."""
+        """Check that the bounds hold."""
         if hasattr(self, 'side'):
             assert not self.side.broken(), self.side.broken()
 
 
 class RestMachine(SendMachine):
-    """The same, and a runner that asks for rest."""
+    """The same, with a runner that asks for back-offs."""
 
     @rule(for_s=st.sampled_from((0.001, 0.4, 1, 3, 30, 86400)))
     def ask_for_rest(self, for_s: float) -> None:
-        """Turn a request away and ask for rest."""
+        """Reject a request and ask for a back-off."""
         self.side.rest(for_s)
 
 
 class LeavingMachine(SendMachine):
-    """The same, and a runner that leaves."""
+    """The same, with a runner that drains."""
 
     @rule()
     def leave(self) -> None:
-        """Say that it leaves."""
+        """Report draining."""
         self.side.leave()
 
 
 class WordsMachine(RestMachine, LeavingMachine):
-    """All of it at one runner."""
+    """A runner that asks for back-offs and drains."""
 
 
 class BeliefTest(TestCase):
-    """The beliefs, with the users' bounds as oracle."""
+    """The known status, checked against the bounds."""
 
     def test_any_order(self) -> None:
-        """Guards against an order of words and sends in which a runner gets what it did not want."""
+        """Guards against orders of status headers and requests that break a bound."""
         for machine in (RestMachine, LeavingMachine, WordsMachine):
             with self.subTest(machine=machine):
                 _run(machine)
 
     def test_gets_longer_only(self) -> None:
-        """Guards against a rest that a later word shortens."""
-        belief = Belief()
-        self.assertTrue(belief.rest(3, 0))
-        self.assertFalse(belief.rest(1, 1))
-        self.assertEqual(belief.rest_left_s(1), 2)
-        self.assertTrue(belief.rest(5, 2))
-        self.assertEqual(belief.rest_left_s(2), 5)
+        """Guards against a back-off that a later answer shortens."""
+        status = Belief()
+        self.assertTrue(status.rest(3, 0))
+        self.assertFalse(status.rest(1, 1))
+        self.assertEqual(status.rest_left_s(1), 2)
+        self.assertTrue(status.rest(5, 2))
+        self.assertEqual(status.rest_left_s(2), 5)
 
     def test_room_grows_after_a_rest(self) -> None:
-        """Guards against all that waited, which would come at the end of a rest."""
-        belief = Belief()
-        belief.rest(1, 0)
-        self.assertEqual(belief.room(0.999), 0)
-        self.assertEqual(belief.room(1), FIRST_AFTER_REST)
-        self.assertEqual(belief.room(1 + 2.5 * DOUBLING_S), 4 * FIRST_AFTER_REST)
-        self.assertEqual(belief.room(1 + (DOUBLINGS + 1) * DOUBLING_S), math.inf)
+        """Guards against a burst of all waiting requests at the end of a back-off."""
+        status = Belief()
+        status.rest(1, 0)
+        self.assertEqual(status.room(0.999), 0)
+        self.assertEqual(status.room(1), FIRST_AFTER_REST)
+        self.assertEqual(status.room(1 + 2.5 * DOUBLING_S), 4 * FIRST_AFTER_REST)
+        self.assertEqual(status.room(1 + (DOUBLINGS + 1) * DOUBLING_S), math.inf)
 
     def test_room_without_a_rest(self) -> None:
-        """Guards against a runner that never asked for rest, and is left out for another word of it."""
-        belief = Belief()
-        belief.hint(1, 0)
-        self.assertEqual(belief.room(0.5), math.inf)
+        """Guards against a runner that gets no requests here because it asked a peer to back off."""
+        status = Belief()
+        status.hint(1, 0)
+        self.assertEqual(status.room(0.5), math.inf)
 
     def test_word_again_is_no_news(self) -> None:
-        """Guards against a line, and a word to all others, for each answer of a runner that leaves."""
-        belief = Belief()
-        self.assertEqual([belief.leave(), belief.leave()], [True, False])
+        """Guards against a log line, and an update to all peers, for each answer of a draining runner."""
+        status = Belief()
+        self.assertEqual([status.leave(), status.leave()], [True, False])
 
 
 class BeliefTwinTest(TestCase):
-    """Each safeguard left out breaks a bound."""
+    """Faulty variants, each without one safeguard, which must break a bound."""
 
     def test_twin_with_a_budget(self) -> None:
-        """A rest that ends with the next good answer, or is taken for a pause."""
+        """A back-off that does not bound the requests in flight breaks the bound."""
         with patch.object(Belief, 'room', _always_room), self.assertRaises(AssertionError):
             _run(RestMachine)
 
     def test_twin_that_shortens(self) -> None:
-        """A later, shorter word counts."""
+        """A later, shorter back-off replaces the longer one."""
         with patch.object(Belief, 'rest', _take_newest), self.assertRaises(AssertionError):
             _run(RestMachine)
 
     def test_twin_that_forgets(self) -> None:
-        """Leaving is not kept."""
+        """Draining is not recorded."""
         with patch.object(Belief, 'leave', _forget), self.assertRaises(AssertionError):
             _run(LeavingMachine)
 
--- a/tests/core/test_lease.py
+++ b/tests/core/test_lease.py
@@ -1,4 +1,4 @@
-"""One holder at a time, whatever is lost, late, frozen or taken back."""
+"""Lease of a duty: one holder at a time under lost and late calls, freezes and restores of the store."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 TURNS_S = 3.0
 STEPS = 3000
-# Seed 30 had two holders with one number while these were counted on; in the last
-# three a holder took nobody to have come between, and somebody had.
+# With tokens counted on from the newest record, seed 30 had two holders with the same one.
+# In the last three a holder assumed that no other one had come between, and one had.
 SEEDS = (*range(1, 41), 391, 599, 947)
 
 
 def _broken(seed: int) -> list[str]:
-    world = LeaseWorld(seed)
-    world.play(STEPS)
-    return world.broken(TURNS_S)
+    simulation = LeaseWorld(seed)
+    simulation.play(STEPS)
+    return simulation.broken(TURNS_S)
 
 
 def _unbroken_claims(seed: int) -> int:
-    world = LeaseWorld(seed)
-    world.play(STEPS)
-    return world.unbroken_claims
+    simulation = LeaseWorld(seed)
+    simulation.play(STEPS)
+    return simulation.unbroken_claims
 
 
 def _always(*_: object) -> bool:
@@ -32,7 +32,7 @@
 
 
 def _same_numbers(found: Lease) -> Holding:
-    """Number holders on from the log alone."""
+    """Return a record whose fencing token counts on from the newest record in the log."""
     if found.fence is not None:
         return Holding(found._name, found.fence, found.era)  # noqa: SLF001
     view = found._view  # noqa: SLF001
@@ -41,41 +41,41 @@
 
 
 class LeaseTest(TestCase):
-    """Five minutes a seed of lost and late calls, freezes and lost history."""
+    """Five simulated minutes a seed with lost and late calls, freezes and restores of the store."""
 
     def test_no_two_hold_at_a_time(self) -> None:
-        """Fencing numbers rise, each is one holder's, and nobody takes turns."""
+        """Fencing tokens increase, each has one holder, and holders do not alternate quickly."""
         self.assertEqual([_broken(seed) for seed in SEEDS], [[] for _ in SEEDS])
 
     def test_somebody_holds_mostly(self) -> None:
-        """The lease is of use: somebody may act for most of the time."""
-        world = LeaseWorld(1)
-        world.play(STEPS)
-        self.assertGreater(len({round(act.at, 1) for act in world.acts}), STEPS / 3)
-        self.assertGreater(len({act.name for act in world.acts}), 1)
+        """Guards against a lease that no instance holds for most of the time."""
+        simulation = LeaseWorld(1)
+        simulation.play(STEPS)
+        self.assertGreater(len({round(act.at, 1) for act in simulation.acts}), STEPS / 3)
+        self.assertGreater(len({act.name for act in simulation.acts}), 1)
 
     def test_unbroken_claims_are_made(self) -> None:
-        """Holders go on after the store went back, knowing that nobody came between."""
+        """After a restore of the store, holders continue when no other instance can have held the lease."""
         self.assertGreater(sum(_unbroken_claims(seed) for seed in SEEDS), len(SEEDS))
 
     def test_twin_that_claims_at_once(self) -> None:
-        """Without waiting out the holder before, two act at a time."""
+        """Without waiting for the previous holder to stop, two instances act at a time."""
         with patch.object(Lease, 'may_claim', _always):
             self.assertTrue(any(_broken(seed) for seed in SEEDS))
 
     def test_twin_that_holds_for_long(self) -> None:
-        """A holder that acts for as long as the others wait acts beside the next one."""
+        """A holder that acts for longer than the others wait acts at the same time as the next one."""
         with patch('sesamepoint_core.duty.lease.HOLD_S', CLAIM_S + 1):
             self.assertTrue(any(_broken(seed) for seed in SEEDS))
 
     def test_twin_that_numbers_on(self) -> None:
-        """Numbered on from the log alone, two holders have one number after it went back."""
+        """With tokens counted on from the log alone, two holders have the same one after a restore."""
         with patch.object(Lease, 'next_holding', _same_numbers):
             self.assertTrue(any(_broken(seed) for seed in SEEDS))
 
     def test_given_back(self) -> None:
-        """A lease that was given back may be claimed at once."""
-        found = Lease('i1', CLAIM_S)
-        found.saw(LogView(1, 3, Holding('', 1_000_000_002, 1)), 5)
-        self.assertTrue(found.may_claim(5))
-        self.assertEqual(found.next_holding(), Holding('i1', 1_000_000_004, 1))
+        """Guards against a wait before the claim of a released lease."""
+        lease = Lease('i1', CLAIM_S)
+        lease.saw(LogView(1, 3, Holding('', 1_000_000_002, 1)), 5)
+        self.assertTrue(lease.may_claim(5))
+        self.assertEqual(lease.next_holding(), Holding('i1', 1_000_000_004, 1))
