--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
@@ -106,7 +106,7 @@
             self.lose()
 
     def may_claim(self, read_at: float) -> bool:
-        """Return whether no instance can act as holder, by the newest read, which began at ``read_at``."""
+        """Return whether no instance can act as holder, given the time at which the newest read began."""
         if self._view is None:
             return False
         holding = self._view.holding
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/lender.py
@@ -16,8 +16,9 @@
     from sesamepoint_core.runner_limit.stamp import Stamp
     from sesamepoint_core.runner_limit.words import Grant, Told
 
-# Length of a lease in seconds, and how many times in a lease it is renewed.
+# Length of a lease, in seconds.
 LEASE_S = 1.5
+# How many times a lease is renewed within its length.
 RENEWALS = 3
 # With more instances than this the length of a lease grows in proportion: of 350 instances
 # without demand the owner receives 200 renewals a second.
@@ -113,14 +114,14 @@
         if self.gives or now < self.asks_at(wish, instances):
             return None
         lease = lease_s(instances)
-        lends = self._stamp if self._stamp_at + lease > now else None
-        if lends is not None:
+        leased_from = self._stamp if self._stamp_at + lease > now else None
+        if leased_from is not None:
             self._lent_until = self._stamp_at + lease
         if self._unanswered_since is None:
             self._unanswered_since = now
         self._asked_at = now
         self._told_wish = wish
-        return Ask(now, lends, lease, wish.permits, wish.rank, self.take_unused(), told)
+        return Ask(now, leased_from, lease, wish.permits, wish.rank, self.take_unused(), told)
 
     def answered(self, sender: str, grant: Grant, instances: int, now: float) -> None:
         """Handle a grant; permits that arrive long after the request are not used."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/pacer.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/pacer.py
@@ -22,7 +22,7 @@
         self._born: deque[float] = deque()
 
     def pace(self, rate: float, keep_s: float, now: float) -> None:
-        """Issue ``rate`` permits a second from ``now`` on, and keep each for ``keep_s`` seconds."""
+        """Issue ``rate`` permits a second from ``now`` on, and set the maximum age of permits in seconds."""
         self._advance(now)
         self._rate = rate
         self._keep_s = keep_s
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/sharing.py
@@ -24,11 +24,11 @@
 # How long an instance does not use its own share after its start, in seconds: its peers
 # do not know it yet, and divide the limit without it.
 UNKNOWN_S = 4.0
-# How long permits are kept, in seconds, while the newest report of the limit is younger
-# than the second number, and how many the whole limit must be able to issue in any case
-# while one is kept.
+# Maximum age of unused permits, in seconds, while the newest report of the limit is recent.
 KEEP_S = 0.5
+# A report of the limit counts as recent for this long, in seconds.
 FRESH_S = 1.0
+# Unused permits are kept in any case for as long as the whole limit takes to issue this many.
 KEEP_PERMITS = 2.0
 # A limit that falls below this share of the former one is announced at once, and permits
 # of the former one are dropped.
--- a/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
@@ -32,7 +32,7 @@
     """Known rate limit of each incarnation of a runner, and the permits for it."""
 
     def __init__(self, entry: str, rng: Random) -> None:
-        """Start without limits; ``entry`` is the name of this instance."""
+        """Start without limits, with the name of this instance."""
         # Set when there may be a message to send, or a waiting request to release.
         self.fresh = trio.Event()
         self._entry = entry
--- a/packages/sesamepoint/src/sesamepoint/front/runner_news.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_news.py
@@ -15,10 +15,10 @@
     from sesamepoint.front.runner_words import RunnerWords
 
 # A message may be lost, or its recipient disconnected, so the instance that found out a fact
-# sends it again: first after so many seconds, then each time at twice the age of the last
-# time, until the second number of seconds has passed. A draining runner stays for some
-# seconds more.
+# sends it again: first at this age of the fact, in seconds, then each time at twice the age.
 AGAIN_S = 1.0
+# Age of a fact, in seconds, from which it is not sent any more. A draining runner stays for
+# some seconds more.
 AGAIN_FOR_S = 10.0
 # How often due messages are looked for, in seconds.
 LOOK_S = 0.25
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, fleet: Fleet, words: RunnerWords, peers: Peers) -> None:
-        """Send what ``fleet`` and ``words`` learn from answers to ``peers``."""
+        """Send what answers reveal about runners to ``peers``."""
         self._fleet = fleet
         self._words = words
         self._peers = peers
