--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits that runners report, and their allocation among instances."""
+"""Rate limits that runners report: their known state, and how instances share them."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_words/__init__.py
@@ -1,1 +1,1 @@
-"""Status headers in the answers of runners, and the state of a runner derived from them."""
+"""Status that runners report in the heads of their answers, and the known status of each."""
