--- a/packages/sesamepoint/src/sesamepoint/front/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/front/__init__.py
@@ -1,1 +1,1 @@
-"""The entry that callers reach: takes requests and calls runners itself."""
+"""Front: the instances that take requests from callers and send them to runners."""
--- a/packages/sesamepoint/src/sesamepoint/front/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/front/admission.py
@@ -1,4 +1,4 @@
-"""Whose request it is, when it comes and for as long as it waits."""
+"""Admission of requests by client account, on arrival and again while they wait."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 
 
 def admission_of(cfg: Configuration, route: Route, req: FrontRequest) -> Admission:
-    """Tell whether ``req`` may be served under ``cfg``, and for which account."""
+    """Decide whether ``req`` may be served under ``cfg``, and for which account."""
     if cfg.accounts is None:
         return Admitted(None)
     return admit(cfg.accounts, req.key, public=route.public)
 
 
 def attribute(job: Job, cfg: Configuration, admission: Admitted) -> None:
-    """Have all sends of ``job`` name its account; none bears its key."""
+    """Set the account that all sends of ``job`` name; its key is not sent."""
     if cfg.accounts is not None:
         job.standing.account = admission.account
         job.req = attributed(job.req, admission.account)
 
 
 def admit_again(job: Job, cfg: Configuration) -> None:
-    """Look at a request anew that came under an older configuration.
+    """Check the admission of a waiting request again after a change of configuration.
 
-    Its key may have been taken, or given to another account, while it waits
-    here for seconds. What may run at a runner ends whole, and is not sent again.
+    Its key may have been revoked, or given to another account, while it waits
+    here for seconds. A request that may already run at a runner is allowed to
+    finish there, but is not sent again.
     """
     admission = admission_of(cfg, job.route, job.req)
     if isinstance(admission, Denied):
@@ -46,7 +47,7 @@
 
 
 async def deny(job: Job) -> None:
-    """Tell the caller of a request that was taken that its key is no account's any more."""
+    """Deny an accepted request whose key no longer belongs to an account."""
     job.notes.cause = Cause.denied
     fault = job.standing.denied
     if fault:
@@ -55,7 +56,7 @@
 
 
 def log_denied(req: FrontRequest, route: Route, fault: KeyFault) -> None:
-    """Write the line that tells why a request is denied; the key is in no line."""
+    """Log why a request is denied; the key is never logged."""
     events.log_event(events.REQUEST_DENIED, request=req.request_id, caller=req.caller, route=route.name, cause=fault)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/backlog.py
+++ b/packages/sesamepoint/src/sesamepoint/front/backlog.py
@@ -1,4 +1,4 @@
-"""Work that entries hold back until an engine has got to it."""
+"""Work queued at the instances until an engine is free for it."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import trio
 
-# A peer's word on what it holds counts for this long, in seconds. Entries
-# that hold work say so every 50 ms; one that has died must not be counted.
+# A peer's report of its queued work is valid for this long, in seconds. Instances with
+# queued work report it every 50 ms; one that has died must not be counted.
 BELIEVED_S = 0.5
 
 
 class Need(enum.Enum):
-    """What a held request waits for."""
+    """Engine resource that a queued request waits for."""
 
     prefill = 'prefill'
     decode = 'decode'
@@ -21,25 +21,23 @@
 
 
 class Line(NamedTuple):
-    """Requests that wait for the same thing."""
+    """Identity of a queue: requests of one service that wait for the same resource."""
 
     service: str
     need: Need
 
 
 class Held(NamedTuple):
-    """What one entry holds in one line, of routes with one target.
+    """Work that one instance has in one queue, of routes with one target.
+
+    After the queue and the target come the number of requests that can still
+    be on time, the engine seconds that those take, and the engine seconds that
+    the late requests take.
 
     Parameters
     ----------
     target_s
         Seconds after which an answer is late.
-    requests
-        How many can still be on time.
-    work_s
-        Engine seconds that those take.
-    late_s
-        Engine seconds that the others take.
     """
 
     line: Line
@@ -55,31 +53,31 @@
 
 
 class Backlog:
-    """What is held in each line, here and at the other entries."""
+    """Queued work of each queue, here and at peers."""
 
     def __init__(self) -> None:
-        """Start with nothing held."""
+        """Start with empty queues."""
         self.own: tuple[Held, ...] = ()
         self._peers: dict[str, _Told] = {}
 
     def heard(self, entry: str, held: tuple[Held, ...]) -> None:
-        """Take what ``entry`` holds, in place of what it told before."""
+        """Replace the report of a peer on its queued work."""
         self._peers[entry] = _Told(trio.current_time(), held)
 
     def forget(self, entry: str) -> None:
-        """Drop what ``entry`` told: it has left."""
+        """Drop the report of a peer that has left."""
         self._peers.pop(entry, None)
 
     def requests(self, line: Line, share: float = 1) -> float:
-        """Return how many requests wait in ``line``: of the other entries' ones, ``share``."""
-        own = sum(held.requests for held in self.own if held.line == line)
-        return own + share * sum(held.requests for held in self.at_peers(line))
+        """Return how many requests in a queue can be on time; those at peers count by ``share``."""
+        own = sum(work.requests for work in self.own if work.line == line)
+        return own + share * sum(work.requests for work in self.at_peers(line))
 
     def at_peers(self, line: Line) -> list[Held]:
-        """Return what the other entries hold in ``line``."""
-        since = trio.current_time() - BELIEVED_S
-        fresh = (told.held for told in self._peers.values() if told.at >= since)
-        return [one for held in fresh for one in held if one.line == line]
+        """Return the work that peers have in a queue, by their valid reports."""
+        oldest = trio.current_time() - BELIEVED_S
+        valid = (report.held for report in self._peers.values() if report.at >= oldest)
+        return [work for reported in valid for work in reported if work.line == line]
 
 
 __all__ = ('Backlog', 'Held', 'Line', 'Need')
--- a/packages/sesamepoint/src/sesamepoint/front/choice.py
+++ b/packages/sesamepoint/src/sesamepoint/front/choice.py
@@ -1,4 +1,4 @@
-"""Which runners a request goes to, from what is believed of them."""
+"""Selection of the runners for a request, by estimated cost."""
 
 from __future__ import annotations
 
@@ -26,34 +26,44 @@
     from sesamepoint.front.member import Member
     from sesamepoint.front.runner_limits import RunnerLimits
 
-# Without published figures a transfer is taken to cost nothing.
+# Used for a service whose link and cache sizes are not published: a transfer costs nothing.
 UNKNOWN_TRANSFER = 1e9
-# A runner of another zone is as good as one of this zone with this many
-# requests more: a millisecond and a half each way against tens of them.
+# A runner in another zone counts as if it had this many more requests in flight.
+# Crossing zones costs 1.5 ms each way; a request takes tens of milliseconds.
 ZONE_PENALTY = 0.5
-# Ranks of requests that can be on time, and of those that can't any more. The
-# late ones wait behind all others, so that they make no others late.
+# Highest rank of a request that can be on time, and the rank of one that can't.
+# Late requests wait behind all others, so that they make no others late.
 MAX_RANK = 4
 LATE_RANK = 8
-# What a lost answer costs against the time in which one is on time; to be late
-# costs twice that time, and keeps a third of the worth.
+# Cost of a lost answer, as a multiple of the route's target. A late answer costs
+# twice the target and keeps a third of its worth.
 LOST_WEIGHT = 4.0
-# The same, as a share of that, for what may go on elsewhere.
+# Factor on that cost for a request that can be retried at another runner.
 REPEATED_SHARE = 0.3
-# Seconds that an answer takes up a place at an engine, until some were seen,
-# and the weight of each; answers of today take 0.2 to 0.5.
+# Time for which an answer occupies an engine slot, in seconds, before any was
+# measured, and the weight of each measurement. Current answers take 0.2 to 0.5 s.
 FIRST_SLOT_S = 0.3
 SLOT_LEARNING = 0.05
-# A prompt waits for a permit if reading it takes an engine more than this share of the
-# time until the next one.
+# A prompt waits for a permit of a prefill engine if its prefill takes more than this
+# share of the interval between two permits.
 WORTH_WAITING = 0.25
 
 
 class Chooser:
-    """Chooses by estimates that all entries' sends go into."""
+    """Selects runners by estimates that include the sends of all instances."""
 
     def __init__(self, known: KnownEngines, availability_zone: str, backlog: Backlog, limits: RunnerLimits) -> None:
-        """Choose among ``known`` from ``availability_zone``, with ``backlog`` behind, as far as ``limits`` admit it."""
+        """Select from the instance's subset of engines.
+
+        Parameters
+        ----------
+        availability_zone
+            Zone of this instance.
+        backlog
+            Requests queued for engines, here and at peers.
+        limits
+            Rate limits of the runners.
+        """
         self._known = known
         self._limits = limits
         self.usable = Usable(known, limits)
@@ -64,61 +74,61 @@
         self._slots: dict[str, float] = {}
 
     def speed(self, service: str) -> SpeedMeter:
-        """Return the measured speed of a service's engines."""
+        """Return the meter of the prefill speed of a service's engines."""
         return self._speeds.setdefault(service, SpeedMeter())
 
     def pauses(self, service: str) -> PauseMeter:
-        """Return what is known of pauses at a service's engines."""
+        """Return the meter of pauses between two stream events at a service's engines."""
         return self._pauses.setdefault(service, PauseMeter())
 
     def engines(self, job: Job, stage: Stage | None = None) -> int:
-        """Return how many engines, of ``stage`` if one is given, could serve ``job``."""
+        """Return how many eligible engines, of ``stage`` if one is given, could serve ``job``."""
         return sum(stage is None or member.runner.stage is stage for member in self.usable.now(job))
 
     def share_of(self, service: str, stage: Stage) -> float:
-        """Return the share of the other entries' work that comes to engines known here."""
+        """Return the share of the peers' work that goes to engines in this instance's subset."""
         return self._known.share_of(service, stage)
 
     async def until_any(self, service: str) -> bool:
-        """Wait until some runner of ``service`` is known; False if all that there are leave."""
+        """Wait until a runner of ``service`` is known; return False if all of its runners are draining."""
         return await self._known.until_any(service)
 
     def slot_s(self, route: str) -> float:
-        """Return how long an answer of ``route`` takes up a place at an engine."""
+        """Return for how many seconds an answer of ``route`` occupies an engine slot."""
         return self._slots.get(route, FIRST_SLOT_S)
 
     def note_slot(self, route: str, took_s: float) -> None:
-        """Learn how long an answer of ``route`` took up a place."""
-        before = self.slot_s(route)
-        self._slots[route] = before + SLOT_LEARNING * (took_s - before)
+        """Update the moving average of the time for which an answer of ``route`` occupies a slot."""
+        average_s = self.slot_s(route)
+        self._slots[route] = average_s + SLOT_LEARNING * (took_s - average_s)
 
     def plain(self, job: Job) -> Member | None:
-        """Return the runner with the fewest requests, near ones first."""
-        found = self.usable.now(job)
-        return min(found, key=self._crowding, default=None)
+        """Return the eligible runner with the fewest requests in flight, preferring this instance's zone."""
+        eligible = self.usable.now(job)
+        return min(eligible, key=self._crowding, default=None)
 
     def engine(self, job: Job, prompt: Prompt, cfg: Configuration) -> EnginePlan | None:
-        """Return the path of least cost.
+        """Return the placement of least cost; None if no engine can run ``job``.
 
-        What would be late on it goes behind all that would not. A prompt that
-        was sent before runs whole, unless the retry budget had room to read it
-        apart once more: only the first call to do so is free.
+        A request that would be late on it gets the last rank. A prompt that was
+        sent before runs whole at one engine, unless the retry budget allowed
+        another remote prefill: only the first remote prefill is free.
         """
-        seen = self._candidates(job, prompt)
+        candidates = self._candidates(job, prompt)
         if not job.may_read_apart:
-            seen = [one for one in seen if one.member.runner.stage is Stage.decode]
-        members = [one.member for one in seen]
+            candidates = [one for one in candidates if one.member.runner.stage is Stage.decode]
+        members = [one.member for one in candidates]
         speeds = self._speeds_of(job, cfg)._replace(
             prefill_price=self._price(job, members, Stage.prefill),
             decode_price=self._price(job, members, Stage.decode),
         )
-        plan = plan_for(prompt, seen, speeds, urgency(job))
+        plan = plan_for(prompt, candidates, speeds, urgency(job))
         if plan is None or plan.path.first_s <= job.on_time_s:
             return plan
         return plan._replace(rank=LATE_RANK)
 
     def second_step(self, job: Job, prompt: Prompt, cfg: Configuration, zone: str) -> Member | None:
-        """Return where a prompt that was read in ``zone`` runs best by now."""
+        """Return the engine of least cost to decode at after a prefill in ``zone``; None if none is eligible."""
         members = [member for member in self.usable.now(job) if member.runner.stage is Stage.decode]
         if not members:
             return None
@@ -128,40 +138,40 @@
         return next(member for member in members if member.runner.key == runner)
 
     def for_trial(self, job: Job, allows: Callable[[Start], bool]) -> str | None:
-        """Return the runner to send ``job`` to alone: of those allowed, the one with least beside it."""
-        usable = (member for member in self.usable.now(job) if member.runner.stage is not Stage.prefill)
-        found = (member for member in usable if allows(member.start))
-        best = min(found, key=_beside, default=None)
+        """Return the key of the runner to probe with ``job``: of those allowed, the one with the fewest requests."""
+        eligible = (member for member in self.usable.now(job) if member.runner.stage is not Stage.prefill)
+        allowed = (member for member in eligible if allows(member.start))
+        best = min(allowed, key=_beside, default=None)
         return best.runner.key if best else None
 
     def _candidates(self, job: Job, prompt: Prompt) -> list[Seen]:
-        """Return the engines that ``job`` may be sent to now, and those that only read and are worth waiting for.
+        """Return the engines that admit ``job`` now, and the rate-limited prefill engines worth waiting for.
 
-        Left out until they have a permit, engines that decode read the long prompts in the
-        moment in between, at half the speed. Short ones run there without much harm, and
-        leave the places to those that take all that such a place is worth.
+        If prefill engines were excluded until they have a permit, decode engines would
+        prefill the long prompts in the meantime, at half the speed. Short prompts do
+        little harm there and leave the permits of prefill engines to long ones.
         """
-        sound = self.usable.sound(job)
-        seen = self._seen(sound, job)
-        admitted = [one for one in seen if not one.permit_wait_s]
-        note_passed_over(job, sound, [one.member for one in admitted])
-        reading = self.speed(job.service).speed
-        work_s = reading.read_s(prompt.tokens, prompt.tokens)
-        readers = (one for one in seen if one.permit_wait_s and one.member.runner.stage is Stage.prefill)
-        in_time = (one for one in readers if one.permit_wait_s < job.first_left_s)
+        healthy = self.usable.sound(job)
+        candidates = self._seen(healthy, job)
+        admitted = [one for one in candidates if not one.permit_wait_s]
+        note_passed_over(job, healthy, [one.member for one in admitted])
+        speed = self.speed(job.service).speed
+        work_s = speed.read_s(prompt.tokens, prompt.tokens)
+        limited = (one for one in candidates if one.permit_wait_s and one.member.runner.stage is Stage.prefill)
+        in_time = (one for one in limited if one.permit_wait_s < job.first_left_s)
         return [*admitted, *(one for one in in_time if work_s > WORTH_WAITING * one.place_s)]
 
     def _seen(self, members: Sequence[Member], job: Job) -> list[Seen]:
-        """Return ``members`` with what their limits mean for ``job``."""
+        """Return ``members`` with the waits that their rate limits impose on ``job``."""
         place_s = self._limits.place_s
         return [Seen(one, self.usable.wait_s(one, job), place_s(one.start)) for one in members]
 
     def _price(self, job: Job, members: Sequence[Member], stage: Stage) -> float:
-        """Return what a second of an engine costs those that wait for one.
+        """Return what one second of an engine costs the requests queued for it.
 
-        All that wait for it wait a second longer. With a fixed price, decode
-        engines full of answers read short prompts, at half the speed, while
-        prefill engines were idle for half of the time.
+        Each of them waits a second longer. With a fixed price, decode engines
+        full of answers prefilled short prompts, at half the speed, while prefill
+        engines were idle for half of the time.
         """
         engines = sum(member.runner.stage is stage for member in members)
         needs = (Need.prefill,) if stage is Stage.prefill else (Need.decode, Need.slot)
@@ -170,12 +180,12 @@
         return OTHERS_WEIGHT + waiting / max(engines, 1)
 
     def _crowding(self, member: Member) -> float:
-        away = 0 if member.runner.zone == self._zone else ZONE_PENALTY
-        return member.in_flight + away
+        penalty = 0 if member.runner.zone == self._zone else ZONE_PENALTY
+        return member.in_flight + penalty
 
     def _speeds_of(self, job: Job, cfg: Configuration) -> Speeds:
-        found = cfg.services.get(job.service)
-        engine = found.engine if found else None
+        service = cfg.services.get(job.service)
+        engine = service.engine if service else None
         return Speeds(
             reading=self.speed(job.service).speed,
             transfer_tokens_s=engine.link_bytes_s / engine.kv_token_bytes if engine else UNKNOWN_TRANSFER,
@@ -195,7 +205,7 @@
 
 
 def urgency(job: Job) -> int:
-    """Return the rank at an engine of a request that its account or its route gives it."""
+    """Return the rank of a request at an engine, by the priority of its account or route."""
     return min(job.priority, MAX_RANK)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/decision_fields.py
+++ b/packages/sesamepoint/src/sesamepoint/front/decision_fields.py
@@ -1,4 +1,4 @@
-"""The fields of a log line that tell why a path was chosen."""
+"""Log fields that explain the choice of a placement."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def decision_fields(plan: EnginePlan, prompt: Prompt, path: str) -> dict[str, object]:
-    """Return what decided on a path, for the line that ends the request."""
+    """Return the fields that explain a placement, for the last log line of the request."""
     return {
         'path': path,
         'reader': plan.view.runner,
--- a/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
@@ -1,4 +1,4 @@
-"""The plan for one prompt: a path through the engines, by what is believed of each."""
+"""Plan for one prompt: its placement on engines, from the state of each as known here."""
 
 from __future__ import annotations
 
@@ -15,16 +15,29 @@
     from sesamepoint_core.serving.prompt import Prompt
     from sesamepoint.front.member import Member
 
-# Fewer tokens than this are read sooner than fetched: a fetch takes 25 ms, in
-# which engines of today read 900 tokens and more.
+# Fewer tokens than this are prefilled faster than fetched: a fetch takes 25 ms, in
+# which current engines prefill 900 tokens and more.
 MIN_FETCH_TOKENS = 1000
 
 
 class EnginePlan(NamedTuple):
-    """A path with the members on it; ``prefill`` is None for a whole run.
+    """A placement and its engines.
 
-    ``holder`` has parts of the prompt that its reader lacks. Unless it is ``admitted`` its
-    reader takes it only when there is a permit.
+    The first engine is the prefill engine, or the decode engine if the request
+    runs whole. Besides its fields, a plan has the engine from which the first
+    engine can fetch prefix blocks that it lacks, and a flag that the decode
+    engine has no free slot or memory.
+
+    Parameters
+    ----------
+    prefill
+        Engine for a remote prefill; None if the request runs whole at ``decode``.
+    view
+        Estimates for the first engine.
+    rank
+        Rank of the request in the queue of an engine.
+    admitted
+        Whether the rate limit of the first engine has a permit now.
     """
 
     path: Path
@@ -39,19 +52,19 @@
 
     @property
     def fetch_from(self) -> str:
-        """Return where the reader takes parts over from, if anywhere."""
+        """Return the address from which the first engine fetches prefix blocks; empty if it fetches none."""
         return str(self.holder.runner.address) if self.holder and self.view.fetch_tokens else ''
 
 
 class Seen(NamedTuple):
-    """A runner as one request finds it.
+    """A runner and the waits that its rate limit imposes on one request.
+
+    The second wait is the time from one permit to the next, in seconds.
 
     Parameters
     ----------
     permit_wait_s
-        How long until its limit admits the request.
-    place_s
-        How long until its limit admits one more.
+        Seconds until the rate limit admits the request.
     """
 
     member: Member
@@ -60,7 +73,7 @@
 
 
 def plan_for(prompt: Prompt, seen: Sequence[Seen], speeds: Speeds, rank: int) -> EnginePlan | None:
-    """Return the path of least cost for ``prompt``, with urgency ``rank``; None if no engine can run it."""
+    """Return the plan of least cost for ``prompt`` at ``rank``; None if no engine can run it."""
     members = [one.member for one in seen]
     holder = _best_holder(prompt, members)
     views = Views(prompt, seen, holder, speeds.pause_s).all()
@@ -68,25 +81,31 @@
     if path is None:
         return None
     by_key = {one.member.runner.key: one for one in seen}
-    reader = by_key[path.prefill or path.decode]
+    first = by_key[path.prefill or path.decode]
     return EnginePlan(
         path=path,
-        prefill=reader.member if path.prefill else None,
+        prefill=first.member if path.prefill else None,
         decode=by_key[path.decode].member,
         holder=holder,
-        view=views[reader.member.runner.key],
+        view=views[first.member.runner.key],
         rank=rank,
         crowded=views[path.decode].crowded,
         speeds=speeds,
-        admitted=not reader.permit_wait_s,
+        admitted=not first.permit_wait_s,
     )
 
 
 class Views:
-    """The views on all engines for one prompt."""
+    """Estimates of all engines for one prompt."""
 
     def __init__(self, prompt: Prompt, seen: Sequence[Seen], holder: Member | None, pause_s: float) -> None:
-        """Look at engines as they are ``seen`` for ``prompt``, of which ``holder`` has parts."""
+        """Prepare the estimates of the given engines for ``prompt``.
+
+        Parameters
+        ----------
+        pause_s
+            Longest pause between two events of a stream that is on time, in seconds.
+        """
         self._prompt = prompt
         self._seen = seen
         self._pause_s = pause_s
@@ -95,7 +114,7 @@
         self._order = _order([one.member for one in seen])
 
     def all(self) -> dict[str, EngineView]:
-        """Return the views by runner."""
+        """Return the estimates by runner key."""
         return {one.member.runner.key: self._view(one) for one in self._seen}
 
     def _view(self, seen: Seen) -> EngineView:
@@ -134,9 +153,9 @@
 
 
 def _order(members: Sequence[Member]) -> dict[str, int]:
-    """Return the order in which all entries fill decode runners."""
+    """Return the order in which all instances fill decode engines, by runner key."""
     keys = (member.runner.key for member in members if member.runner.stage is Stage.decode)
-    return {key: place for place, key in enumerate(sorted(keys))}
+    return {key: index for index, key in enumerate(sorted(keys))}
 
 
 __all__ = ('EnginePlan', 'Seen', 'Views', 'plan_for')
--- a/packages/sesamepoint/src/sesamepoint/front/engine_runs.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_runs.py
@@ -1,4 +1,4 @@
-"""Carrying out a path through the engines: whole, or in two steps."""
+"""Execution of engine plans: a whole run, or a remote prefill and then a decode."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
     from sesamepoint.front.sends import End
 
 
-# Share of the time until its caller leaves for which a prompt may be read
-# apart. Reading may be done again: an engine that never answered kept callers of
-# long prompts until they left, since four times the expected time was longer.
-# But no less than twice the expected time: what is given up was read in vain.
+# A remote prefill may take up to this share of the time until its caller leaves.
+# Four times the expected time alone was too long: an engine that never answered
+# kept callers of long prompts until they left, though a prefill can be repeated.
+# It may always take this multiple of the expected time, since an aborted prefill is
+# wasted work.
 READ_SHARE = 0.5
 READ_FACTOR = 2.0
 
 
 class EngineRuns:
-    """Runs jobs with prompts at engines."""
+    """Sends requests that have a prompt to engines."""
 
     def __init__(self, tools: EngineTools) -> None:
-        """Work with ``tools``."""
+        """Use the given components to plan, queue and send requests."""
         self._chooser = tools.chooser
         self._sends = tools.sends
         self._reclaimer = tools.reclaimer
@@ -58,7 +59,13 @@
         cfg: Configuration,
         budget: WindowBudget,
     ) -> AttemptResult | None:
-        """Have ``job`` served on the best path; None if there is none."""
+        """Serve ``job`` on the placement of least cost.
+
+        Returns
+        -------
+        AttemptResult | None
+            The outcome; None if no engine can run it or it was refused.
+        """
         plan = await self._admitted_plan(job, prompt, cfg)
         if plan is None or plan.prefill is None:
             return await self._whole(job, prompt, plan)
@@ -67,10 +74,10 @@
             return await self._after_failed_read(job, prompt, cfg, budget)
         if isinstance(prefilled, Withheld):
             return prefilled
-        found = await self._run_on(job, prompt, cfg, plan, prefilled)
-        if not isinstance(found, Relayed):
+        outcome = await self._run_on(job, prompt, cfg, plan, prefilled)
+        if not isinstance(outcome, Relayed):
             self._reclaimer.drop(prefilled)
-        return found
+        return outcome
 
     async def _run_on(
         self,
@@ -80,15 +87,15 @@
         plan: EnginePlan,
         prefilled: Prefilled,
     ) -> AttemptResult:
-        """Go on where the prompt was read; at another engine if the gate to the first has closed."""
+        """Decode after a remote prefill; choose another engine if the admission check for one fails."""
         while True:
-            # Reading took a while; the engine that was idle then may be busy now.
+            # The decode engine is chosen again: the planned one may have become busy during the prefill.
             decode = await self._second_step(job, prompt, cfg, plan)
             if decode is None:
-                return Unsent('no engine is left that it may be sent to')
-            found = await self._decode(job, prompt, plan._replace(decode=decode), prefilled)
-            if not isinstance(found, Withheld) or not may_go_on(job, found):
-                return found
+                return Unsent('no eligible decode engine')
+            outcome = await self._decode(job, prompt, plan._replace(decode=decode), prefilled)
+            if not isinstance(outcome, Withheld) or not may_go_on(job, outcome):
+                return outcome
             self._limits.give_back(job)
 
     async def _after_failed_read(
@@ -98,24 +105,23 @@
         cfg: Configuration,
         budget: WindowBudget,
     ) -> AttemptResult | None:
-        """Have the prompt read apart at another engine, or run whole.
+        """Retry after a failed remote prefill: another one if the retry budget allows it, else a whole run.
 
-        Engines that decode read at half the speed, between the answers of
-        others. While engines that read lost four answers in ten, all of them
-        ran whole at once: long prompts waited 2 to 4 s there, until their
-        callers left.
+        Decode engines prefill at half the speed, between the answers of other
+        requests. When prefill engines lost four answers in ten and all failed
+        prefills were run whole at once, long prompts waited 2 to 4 s at decode
+        engines, until their callers left.
         """
-        # Unlike the first call to read a prompt, a failed one counts as an
-        # extra arrival.
+        # The first remote prefill of a request is free; a failed one is charged as an extra arrival.
         budget.charge()
         job.may_read_apart = budget.spend()
         if job.ended:
-            # Whether it may be sent again is for the quarantine to say.
-            return Unsent('its reader ended')
+            # The quarantine decides whether the request may be sent again.
+            return Unsent('the prefill engine ended')
         return await self.attempt(job, prompt, cfg, budget)
 
     async def _admitted_plan(self, job: Job, prompt: Prompt, cfg: Configuration) -> EnginePlan | None:
-        """Return a plan whose first engine may be sent the request now; None if there is none in time."""
+        """Wait for a plan whose first engine admits the request, and reserve a permit; None if it is refused."""
         while True:
             plan = await self._wait_for_plan(job, prompt, cfg)
             if plan is None:
@@ -128,23 +134,23 @@
         return not job.notes.refused and await self._places.wait(job)
 
     async def _second_step(self, job: Job, prompt: Prompt, cfg: Configuration, plan: EnginePlan) -> Member | None:
-        """Return the engine to go on at, which may be sent the request now."""
+        """Wait for an engine that admits the decode, and reserve a permit; None if there is none."""
         zone = plan.view.zone
         while True:
-            found = self._chooser.second_step(job, prompt, cfg, zone)
-            if found is None and await self._places.wait(job):
+            eligible = self._chooser.second_step(job, prompt, cfg, zone)
+            if eligible is None and await self._places.wait(job):
                 continue
-            decode = found or plan.decode
+            decode = eligible or plan.decode
             if decode.closed_to(Purpose(SendKind.second_step, job)):
                 return None
             return decode if self._limits.set_aside(decode, job) else None
 
     async def _wait_for_plan(self, job: Job, prompt: Prompt, cfg: Configuration) -> EnginePlan | None:
-        """Hold the request here until its best engine has nearly got to it.
+        """Queue the request here until its engine is nearly free.
 
-        An engine sets memory aside for all prompts that wait there, at the
-        cost of the shared parts that it keeps. What waits here takes none,
-        and goes to whichever engine is free first.
+        An engine reserves memory for each prompt queued at it and evicts cached
+        prefix blocks for that. A request queued here takes no engine memory and
+        goes to whichever engine is free first.
         """
         plan = self._chooser.engine(job, prompt, cfg)
         if plan is None or not self._waiting.holds(job, plan):
@@ -165,12 +171,12 @@
             sending=target.sending._replace(fetch_from=plan.fetch_from),
             on_sign=partial(self._note_sign, job, plan, end, started),
         )
-        became: AttemptResult | None = None
+        outcome: AttemptResult | None = None
         try:
-            became = await attempt(job, target)
+            outcome = await attempt(job, target)
         finally:
-            self._end_stream(job, end._replace(lost=_lost(job, became)), started, became)
-        return became
+            self._end_stream(job, end._replace(lost=_lost(job, outcome)), started, outcome)
+        return outcome
 
     async def _prefill(self, job: Job, prompt: Prompt, plan: EnginePlan, member: Member) -> Prefilled | Withheld | None:
         job.notes.decision.update(decision_fields(plan, prompt, 'two-step'))
@@ -178,22 +184,22 @@
         job.tried[member.runner.key] = member.start
         end = await self._begin(plan, prompt, member, plan.path.work_s)
         sending = Sending(member.runner.key, job.left_s, plan.rank, prefill_only=True, fetch_from=plan.fetch_from)
-        patient_s = _read_patience_s(plan.path.first_s, job.first_left_s)
-        target = Target(member, sending, patient_s, purpose=Purpose(SendKind.read_apart, job))
+        timeout_s = _read_patience_s(plan.path.first_s, job.first_left_s)
+        target = Target(member, sending, timeout_s, purpose=Purpose(SendKind.read_apart, job))
         started = trio.current_time()
-        found: Prefilled | PrefillFailed | Withheld | None = None
+        outcome: Prefilled | PrefillFailed | Withheld | None = None
         try:
-            found = await prefill(job.req, target, job.reply)
+            outcome = await prefill(job.req, target, job.reply)
         finally:
-            self._sends.end(end._replace(finished=True, lost=_unread(found)))
-        if isinstance(found, Prefilled):
+            self._sends.end(end._replace(finished=True, lost=_unread(outcome)))
+        if isinstance(outcome, Prefilled):
             self._learn(job, prompt, plan, member, trio.current_time() - started)
-            return found
-        if isinstance(found, Withheld):
+            return outcome
+        if isinstance(outcome, Withheld):
             job.may_read_apart = True
-            note_withheld(job, target, found, started)
-            return found
-        note_unread(job, member, found, started)
+            note_withheld(job, target, outcome, started)
+            return outcome
+        note_unread(job, member, outcome, started)
         return None
 
     async def _decode(self, job: Job, prompt: Prompt, plan: EnginePlan, prefilled: Prefilled) -> AttemptResult:
@@ -204,25 +210,25 @@
             sending=target.sending._replace(kv_source=prefilled.source),
             purpose=Purpose(SendKind.second_step, job),
         )
-        became: AttemptResult | None = None
+        outcome: AttemptResult | None = None
         try:
-            became = await attempt(job, target)
+            outcome = await attempt(job, target)
         finally:
-            self._end_stream(job, end._replace(lost=_lost(job, became)), started, became)
-            if became is None:
-                # Its caller has left.
+            self._end_stream(job, end._replace(lost=_lost(job, outcome)), started, outcome)
+            if outcome is None:
+                # The caller has left.
                 self._reclaimer.drop(prefilled)
-        return became
+        return outcome
 
     async def _begin(self, plan: EnginePlan, prompt: Prompt, member: Member, work_s: float) -> End:
-        """Note a send, and tell peers of long work before its body takes up the link."""
+        """Record a send, and announce long work to peers before its body occupies the link."""
         tokens = prompt.tokens if member is plan.decode else 0
         load = NewLoad(member, work_s, tokens, late=plan.rank == LATE_RANK)
         end = self._sends.begin(load, prompt.parts)
         try:
             await self._sends.announced(end)
         except BaseException:
-            # Its caller has left, and nothing is sent.
+            # The caller has left, and nothing is sent.
             self._sends.end(end._replace(finished=True))
             raise
         return end
@@ -259,14 +265,20 @@
 
 
 def _read_patience_s(expected_s: float, left_s: float) -> float:
-    """Return how long to wait for a prompt to be read that was expected to take ``expected_s``."""
+    """Return the timeout of a remote prefill that is expected to take ``expected_s``.
+
+    Parameters
+    ----------
+    left_s
+        Seconds until the caller stops waiting for the start of an answer.
+    """
     return max(min(patience_s(expected_s, engine=True), READ_SHARE * left_s), READ_FACTOR * expected_s)
 
 
 def _lost(job: Job, became: AttemptResult | None) -> bool | None:
-    """Tell whether an engine lost the answer; None if it had no chance to give it."""
+    """Tell whether an engine lost the answer; None if it had no chance to give one."""
     if became is None:
-        # Its time ran out before any sign of an answer, or its caller left.
+        # Either the deadline passed before the answer began, or the caller left.
         return True if job.notes.first_at is None and job.first_left_s <= 0 else None
     if isinstance(became, Unsent | Rejected | Withheld):
         return None
@@ -274,7 +286,7 @@
 
 
 def _unread(found: Prefilled | PrefillFailed | Withheld | None) -> bool | None:
-    """Tell whether an engine failed to read a prompt; None if it was not asked, or not it."""
+    """Tell whether an engine failed a remote prefill; None if nothing reached it, or another incarnation answered."""
     if found is None or isinstance(found, Withheld):
         return None
     if isinstance(found, Prefilled):
--- a/packages/sesamepoint/src/sesamepoint/front/engine_tools.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_tools.py
@@ -1,4 +1,4 @@
-"""What sending requests needs besides the request."""
+"""Components that the dispatcher uses to choose, queue and send requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EngineTools(NamedTuple):
-    """The parts of one front that choose, hold back and tell of sends."""
+    """Components of one front that choose runners, queue requests and announce sends."""
 
     chooser: Chooser
     sends: SendNotes
@@ -32,7 +32,17 @@
     def from_zone(
         cls, availability_zone: str, known: KnownEngines, sends: SendNotes, words: RunnerWords, rng: Random
     ) -> EngineTools:
-        """Build what sends from ``availability_zone`` to the runners of ``known``, as far as they admit it."""
+        """Build the components.
+
+        Parameters
+        ----------
+        availability_zone
+            Zone of this instance.
+        sends
+            Record of the sends of all instances.
+        rng
+            Source of random delays.
+        """
         chooser = Chooser(known, availability_zone, sends.backlog, words.limits)
         waiting = WaitingRoom(chooser, sends, rng)
         return cls(chooser, sends, HandleReclaimer(), waiting, words.limits, Places(words, chooser.usable))
--- a/packages/sesamepoint/src/sesamepoint/front/fleet.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet.py
@@ -1,4 +1,4 @@
-"""The runners that this process may send requests to."""
+"""The registered runners that this process may send requests to."""
 
 from __future__ import annotations
 
@@ -21,20 +21,30 @@
     from sesamepoint.front.gate import Gate
     from sesamepoint.http1.transport import Network
 
-# Runners whose newest start is remembered after they have gone, so that late
-# word about an earlier one does not bring it back. A day has some hundred.
+# Number of runners whose newest incarnation is remembered, also after they have gone, so
+# that a late message about an earlier one does not bring it back. A day has some hundred.
 REMEMBERED_STARTS = 4096
-# Share of the time that a vanished runner may still be used in. Registrations
-# also lapse while the store is away, though their runners live; without a
-# while of grace a store that comes back would empty every fleet for seconds.
+# An unregistered runner may still be used for this share of the drain time. Registrations
+# also expire while the store is unavailable, though their runners live; without a grace
+# period a store that comes back would empty every fleet for seconds.
 GRACE_SHARE = 0.5
 
 
 class Fleet:
-    """Members by key, kept in step with their registrations."""
+    """Members by runner key, updated from their registrations."""
 
     def __init__(self, drain_s: float, network: Network, now: Callable[[], float], gate: Gate) -> None:
-        """Allow a vanished runner a part of ``drain_s``; members ask ``gate`` before anything is sent."""
+        """Start without runners.
+
+        Parameters
+        ----------
+        drain_s
+            Drain time in seconds; an unregistered runner is kept for a share of it.
+        now
+            Clock in seconds.
+        gate
+            Decides whether anything may be sent to a runner, just before each send.
+        """
         self._network = network
         self._gate = gate
         self.listed = False
@@ -44,20 +54,20 @@
         self._kv_tokens: dict[str, int] = {}
         self._starts: dict[str, int] = {}
         self.changes = 0
-        # Called when another incarnation has answered at the address of a runner.
+        # Called when another incarnation answers at the address of a runner.
         self.on_replaced: Callable[[Start], None] | None = None
         self._changed = trio.Event()
         self._sizes: Counter[tuple[str, Stage]] = Counter()
         self._sizes_at = -1
-        # No more than there are registrations, so it needs no other bound.
+        # Unbounded: it never has more entries than there are registrations.
         self._joined = trio.open_memory_channel[Member](math.inf)
 
     def allow(self, drain_s: float) -> None:
-        """Allow a vanished runner a part of ``drain_s`` from now on."""
+        """Change the drain time to ``drain_s`` seconds; an unregistered runner is kept for a share of it."""
         self._grace_s = drain_s * GRACE_SHARE
 
     def configure(self, cfg: Configuration) -> None:
-        """Learn the memory sizes of engines, of those too that were registered before."""
+        """Set the KV cache sizes of engines, registered ones included."""
         for service in cfg.services.values():
             if service.engine:
                 self._kv_tokens[service.name] = service.engine.kv_tokens
@@ -65,27 +75,27 @@
             member.resize(self._kv_tokens.get(member.runner.service, UNKNOWN_KV_TOKENS))
 
     def replace_all(self, runners: Iterable[Runner]) -> None:
-        """Take a whole list; what is not on it has gone."""
-        found = {runner.key: runner for runner in runners}
+        """Apply a full list of registrations; runners that are not on it are unregistered."""
+        listed = {runner.key: runner for runner in runners}
         for key in tuple(self.members):
-            if key not in found:
+            if key not in listed:
                 self.remove(key)
-        for runner in found.values():
+        for runner in listed.values():
             self.update(runner)
         self.listed = True
 
     def update(self, runner: Runner) -> None:
-        """Take a new or renewed registration.
+        """Apply a new or renewed registration.
 
-        One of an earlier start than is known may come from a store that is
-        behind, or have been overtaken by a peer's word: it is ignored.
+        A registration of an earlier incarnation than the known one is ignored: it
+        comes from a store that is behind, or a peer's message has overtaken it.
         """
         known_ms = self._starts.get(runner.key, 0)
         if runner.born_ms < known_ms:
             events.log_event(events.EARLIER_START, runner=runner.key, born_ms=runner.born_ms, known_ms=known_ms)
             if not runner.born_ms:
-                # A runner that tells its start always does: this is the
-                # record of another writer, and it names no runner.
+                # A runner that registers its start time always does. This record is from
+                # another writer, so the runner itself is no longer registered.
                 self.remove(runner.key)
             return
         member = self.members.get(runner.key)
@@ -100,10 +110,10 @@
         member.gone_at = None
 
     def at_start(self, key: str, born_ms: int) -> Member | None:
-        """Return the runner called ``key`` if the start of ``born_ms`` is its newest.
+        """Return the member with ``key`` if its newest incarnation started at ``born_ms``, else None.
 
-        Whoever tells of a start that isn't known here knows more than this
-        entry: from then on nothing counts that was believed of the one before.
+        A message about an incarnation that is newer than the known one replaces the
+        known one: the state of the earlier incarnation no longer counts.
         """
         member = self.members.get(key)
         if member is None or born_ms == member.runner.born_ms:
@@ -111,17 +121,17 @@
         if born_ms < member.runner.born_ms:
             return None
         self.changes += 1
-        # Whether the new start leaves too is for its registration to say.
+        # Whether the new incarnation is draining too will come with its registration.
         self._join(member.runner._replace(born_ms=born_ms))
         return self.members[key]
 
     def of_start(self, start: Start) -> Member | None:
-        """Return the member of ``start``, if that is the start which is known of its runner."""
+        """Return the member of an incarnation; None if another incarnation of its runner is known."""
         member = self.members.get(start.runner)
         return member if member is not None and member.start == start else None
 
     def remove(self, key: str) -> None:
-        """Note that a registration has vanished."""
+        """Note that a runner is no longer registered; it is kept for the grace period."""
         member = self.members.get(key)
         if member is None or member.gone_at is not None:
             return
@@ -136,15 +146,15 @@
         return self._sizes[service, stage]
 
     def leaving(self) -> int:
-        """Return how many runners leave."""
+        """Return how many runners are draining."""
         return sum(member.leaving for member in self.members.values())
 
     def resting(self) -> int:
-        """Return how many runners want nothing from this instance now."""
+        """Return from how many runners this instance is backing off."""
         return sum(member.rests for member in self.members.values())
 
     async def until_any(self, service: str) -> bool:
-        """Wait until some runner of ``service`` may get new requests; False if all that there are leave."""
+        """Wait until a runner of ``service`` may get new requests; return False if all of its runners are draining."""
         while not self.of_service(service):
             if self._all_leave(service):
                 return False
@@ -152,31 +162,31 @@
         return True
 
     async def next_joined(self) -> Member:
-        """Wait for a runner that was not known before."""
+        """Wait for a new runner, or a new incarnation of one."""
         return await self._joined[1].receive()
 
     def of_service(self, service: str) -> list[Member]:
         """Return the members of ``service`` that may get new requests.
 
-        Those whose registration has vanished are there only if no other is.
+        Unregistered ones are returned only if there are no others.
         """
         self._forget()
-        found = [member for member in self.members.values() if member.runner.service == service]
-        staying = [member for member in found if not member.leaving and not member.replaced]
-        present = [member for member in staying if member.gone_at is None]
-        return present or staying
+        of_service = [member for member in self.members.values() if member.runner.service == service]
+        usable = [member for member in of_service if not member.leaving and not member.replaced]
+        registered = [member for member in usable if member.gone_at is None]
+        return registered or usable
 
     def _all_leave(self, service: str) -> bool:
-        """Tell whether runners of ``service`` are registered, and all of them leave."""
-        present = [one for one in self.members.values() if one.runner.service == service and one.gone_at is None]
-        return bool(present) and all(one.leaving for one in present)
+        """Tell whether runners of ``service`` are registered, and all of them are draining."""
+        registered = [one for one in self.members.values() if one.runner.service == service and one.gone_at is None]
+        return bool(registered) and all(one.leaving for one in registered)
 
     def _join(self, runner: Runner) -> None:
-        """Begin with a runner, or with a new start of one, of which nothing is believed."""
-        before = self.members.get(runner.key)
-        if before is not None:
-            before.close()
-            self._gate.words.forget(before.start)
+        """Add a runner, or replace its earlier incarnation, whose state is dropped."""
+        earlier = self.members.get(runner.key)
+        if earlier is not None:
+            earlier.close()
+            self._gate.words.forget(earlier.start)
             events.log_event(events.RUNNER_RESTARTED, runner=runner.key, born_ms=runner.born_ms)
         self._remember_start(runner)
         kv_tokens = self._kv_tokens.get(runner.service, UNKNOWN_KV_TOKENS)
--- a/packages/sesamepoint/src/sesamepoint/front/inventory.py
+++ b/packages/sesamepoint/src/sesamepoint/front/inventory.py
@@ -1,4 +1,4 @@
-"""Asking engines what they keep, when this entry meets them."""
+"""Inventory of the KV cache of each engine, taken when it joins the fleet."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
     from sesamepoint.front.known_engines import KnownEngines
     from sesamepoint.front.member import Member
 
-# The call takes some of the engine's time, so entries that start together
-# draw a moment from this span, in seconds, to make it.
+# Calls are delayed by a random time of up to this many seconds: each takes some of the
+# engine's time, and instances may start together.
 SPREAD_S = 0.2
-# Engines of today answer in some tens of milliseconds. What has not come by
-# then is of little use: the model learns from what is sent.
+# Current engines answer in some tens of milliseconds. A later answer is of little use,
+# since the cache model also learns from the requests that are sent.
 CALL_S = 1.0
 PURPOSE = Purpose(SendKind.inventory)
 
 
 class Inventory:
-    """Fills the models of engines' memories at the start.
+    """Fills the cache models of engines that join the fleet.
 
-    An entry that was restarted knows nothing of what engines keep, sends
-    prompts where their shared parts are not, and has them read again for
-    seconds: after all lost power, long prompts had 10,000 unknown tokens in
-    the median, and 6,000 before.
+    A restarted instance does not know which prefix blocks engines have cached, so
+    for seconds it sends prompts to engines that have to prefill these blocks again:
+    after a power loss of all instances long prompts had a median of 10,000 uncached
+    tokens, and 6,000 before it.
     """
 
     def __init__(self, fleet: Fleet, known: KnownEngines, rng: Random) -> None:
-        """Ask the engines that join ``fleet``, as far as they are ``known`` here."""
+        """Query the engines that join ``fleet`` and are in this instance's subset."""
         self._fleet = fleet
         self._known = known
         self._rng = rng
 
     async def run(self) -> None:
-        """Ask each engine that joins, until cancelled."""
+        """Query each engine that joins, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 member = await self._fleet.next_joined()
-                # Of thousands of engines most are another entry's to ask.
+                # In a fleet of thousands most engines are used by other instances only.
                 if member.runner.stage is not Stage.plain and self._known.here(member.runner):
                     nursery.start_soon(self._ask, member)
 
@@ -75,10 +75,10 @@
         finally:
             member.give_back(conn)
         runner = member.runner
-        # An engine may have started again while it was asked, or since it
-        # registered; its new start is asked anew, as one that has just joined.
+        # The engine may have restarted during the call or since its registration. Its
+        # new incarnation joins the fleet and is queried in turn.
         if self._fleet.at_start(runner.key, kept.born_ms or runner.born_ms) is not member:
-            events.log_event(events.INVENTORY_FAILED, runner=runner.key, cause='it has started again')
+            events.log_event(events.INVENTORY_FAILED, runner=runner.key, cause='the runner has restarted')
             return
         member.cache.recall(kept.parts)
         tokens = sum(part.tokens for part in kept.parts)
--- a/packages/sesamepoint/src/sesamepoint/front/known_engines.py
+++ b/packages/sesamepoint/src/sesamepoint/front/known_engines.py
@@ -1,4 +1,4 @@
-"""Which engines an entry sends to, and whom its sends concern."""
+"""Subset of the engines that each instance sends to."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     from sesamepoint.front.fleet import Fleet
     from sesamepoint.front.member import Member
 
-# Engines of one service and stage that an entry knows. The fleets of today
-# are smaller and known whole. Of 600 engines before 350 entries each is known
-# to 14 entries, and those alone have to be told of a send to it. More choice
-# means more to be told; docs/CAPACITY.md has both for the design size.
+# Engines of one service and stage in an instance's subset. Current fleets are smaller
+# and used by all instances. With 600 engines and 350 instances each engine is used by
+# 14 instances, and a send to it is announced to those only. A larger subset means more
+# announcements; docs/CAPACITY.md has both figures for the design size.
 KNOWN = 24
 
 
 class KnownEngines:
-    """The share of the fleet that each entry knows, by a hash of both names."""
+    """The runners that each instance uses, by a hash of the names of instance and runner."""
 
     def __init__(self, entry: str, fleet: Fleet) -> None:
-        """Work for ``entry``; ``fleet`` has all runners that are registered."""
+        """Find the subset of one instance among the registered runners of ``fleet``."""
         self._entry = entry
         self._fleet = fleet
         self._here: dict[str, bool] = {}
@@ -31,19 +31,19 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether each entry knows all engines."""
+        """Tell whether each instance uses all engines."""
         return all(self._size(member.runner) <= KNOWN for member in self._fleet.members.values())
 
     def of_service(self, service: str) -> list[Member]:
-        """Return the runners of ``service`` that this entry may send new requests to."""
+        """Return the runners of ``service`` that this instance may send new requests to."""
         return [member for member in self._fleet.of_service(service) if self.here(member.runner)]
 
     async def until_any(self, service: str) -> bool:
-        """Wait until some runner of ``service`` is registered; False if all that there are leave."""
+        """Wait until a runner of ``service`` is registered; return False if all of its runners are draining."""
         return await self._fleet.until_any(service)
 
     def here(self, runner: Runner) -> bool:
-        """Tell whether this entry knows ``runner``; asked for each engine at each choice."""
+        """Tell whether this instance uses ``runner``; cached, since each selection asks for each engine."""
         if self._here_at != self._fleet.changes:
             self._here_at = self._fleet.changes
             self._here.clear()
@@ -54,15 +54,15 @@
         return known
 
     def at(self, entry: str, key: str) -> bool:
-        """Tell whether ``entry`` knows the runner called ``key``."""
+        """Tell whether an instance uses the runner with ``key``."""
         member = self._fleet.members.get(key)
         return member is not None and self._knows(entry, member.runner)
 
     def share_of(self, service: str, stage: Stage) -> float:
-        """Return the share of the engines of a stage that one entry knows.
+        """Return the share of the engines of a stage that one instance uses.
 
-        It is also the share of another entry's work that will come to the
-        engines known here: each knows others.
+        It is also the expected share of a peer's work that goes to engines in
+        this instance's subset, since each instance has another subset.
         """
         size = self._fleet.size_of(service, stage)
         return min(KNOWN / size, 1) if size else 1
@@ -71,7 +71,7 @@
         return is_known(entry, runner.key, self._size(runner), KNOWN)
 
     def _size(self, runner: Runner) -> int:
-        """Return the size of a runner's fleet; plain services are known whole."""
+        """Return how many engines its service has for its stage; 0 for a plain service, which all instances use."""
         return 0 if runner.stage is Stage.plain else self._fleet.size_of(runner.service, runner.stage)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/lines.py
+++ b/packages/sesamepoint/src/sesamepoint/front/lines.py
@@ -1,4 +1,4 @@
-"""Lines of waiting requests: who is first, who stands back, how long it takes."""
+"""Triage of queued requests: which can be on time, and how long each waits."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     from sesamepoint.front.engine_plan import EnginePlan
     from sesamepoint.front.job import Job
 
-# Work that an engine may have before more is held back here: enough to keep
-# it busy over the 30 ms that a word to the other entries takes.
+# Work that an engine may have, in seconds, before requests are queued here: enough to
+# keep it busy for the 30 ms that an announcement to peers takes.
 HOLD_ABOVE_S = 0.1
-# From this many seconds before it is too late to be answered at all, a caller
-# that came back goes before those that come for the first time. It allows for
-# the work that an engine may have had before, and an error of as much again.
+# The retry of a caller goes before first attempts from this many seconds before it can
+# no longer be answered. This covers the work that an engine may already have, and an
+# error of as much again.
 LAST_CALL_S = 0.3
-# With less to spare than this many seconds, or than it takes, it is too late. A
-# guess: in bursts of 430 prompts nobody, or one caller, that was let go later
-# than that stayed without an answer, with 0.2 and 0.3 s alike.
+# A request with less slack than this many seconds, or than its work takes, can't be
+# answered any more. In bursts of 430 prompts no caller, or one, that was released later
+# than that stayed without an answer, with 0.2 s as with 0.3 s.
 MIN_SPARE_S = 0.2
-# Work of fewer seconds is served late rather than refused: it holds up the
-# others for less time than a gap between two long prompts leaves, and its
-# caller would have to wait for a third of its time to ask again.
+# Requests of fewer engine seconds are served late rather than refused: they delay others
+# by less than the gap between two long prompts, while their callers would have to wait
+# for a third of their time to retry.
 SMALL_WORK_S = 0.03
 
 
 class Waiter:
-    """One waiting request; ``plan`` is set when its time has come."""
+    """One waiting request; ``plan`` is final once the request is released or refused."""
 
     def __init__(self, job: Job, prompt: Prompt, cfg: Configuration, plan: EnginePlan) -> None:
-        """Wait since ``plan`` came out as too busy."""
+        """Wait because the engines of ``plan`` are too busy."""
         self.job = job
         self.prompt = prompt
         self.cfg = cfg
@@ -56,12 +56,12 @@
         self.take(plan)
 
     def take(self, plan: EnginePlan) -> None:
-        """Wait by the newest ``plan``."""
+        """Replace the newest plan, which decides the queue."""
         self.line = line_of(self.job, plan)
         self._newest = plan
 
     def expect_wait(self, wait_s: float) -> None:
-        """Expect to wait for ``wait_s``; the line that tells its end has the first such estimate."""
+        """Set the expected wait to ``wait_s``; the log line of the request has the first estimate."""
         self.expected_s = wait_s
         notes = self.job.notes
         if notes.wait_expected_s is None:
@@ -69,37 +69,37 @@
             notes.need = self.line.need.value
 
     def waits_for_permit_of(self, runner: str) -> bool:
-        """Tell whether it waits for a permit to be read at ``runner``, by the newest plan."""
+        """Tell whether it waits for a permit for prefill at ``runner``, by the newest plan."""
         return not self._newest.admitted and self._newest.view.runner == runner
 
     @property
     def refusable(self) -> bool:
-        """Tell whether it may be refused: not if part of an answer may have gone out."""
+        """Tell whether it may be refused: not once it was sent, since part of an answer may have gone out."""
         return not self.job.sends
 
     @property
     def small(self) -> bool:
-        """Tell whether to serve it late costs the others next to nothing."""
+        """Tell whether its work is so small that serving it late hardly delays others."""
         return self.turn.work_s < SMALL_WORK_S
 
     @property
     def spare_s(self) -> float:
-        """Return how long it may still wait and be answered at all."""
+        """Return for how many seconds it may still wait and be answered before its deadline."""
         path = self._newest.path
         return self.job.first_left_s - (path.first_s - self._newest.view.wait_s)
 
     @property
     def last_call(self) -> bool:
-        """Tell whether it is now or never: its caller won't come back."""
+        """Tell whether it is the retry of a caller and close to its latest start time; its caller won't retry again."""
         return self.job.returned and self.spare_s < LAST_CALL_S + self._newest.path.work_s
 
     @property
     def too_late(self) -> bool:
-        """Tell whether it would hardly be answered any more."""
+        """Tell whether too little time is left for an answer."""
         return self.spare_s < max(MIN_SPARE_S, self._newest.path.work_s)
 
     def refuse(self, wait_s: float) -> None:
-        """Have the request refused; its caller may come back after ``wait_s``."""
+        """Refuse the request; its caller may retry after ``wait_s``, capped to a share of the time that it has left."""
         job = self.job
         self.plan = None
         job.retry_after_s = heeded_s(wait_s, job.caller_left_s)
@@ -115,40 +115,43 @@
         )
 
     def update_turn(self, slot_s: float) -> None:
-        """Work out by when an engine must be through with it, as of now.
+        """Compute by when an engine must have done its work, from now.
 
-        An answer of its route takes up a place at an engine for ``slot_s``.
+        Parameters
+        ----------
+        slot_s
+            Seconds for which an answer of its route occupies an engine slot.
         """
         plan = self._newest
-        rest_s = plan.path.first_s - plan.view.wait_s - plan.path.work_s
+        after_s = plan.path.first_s - plan.view.wait_s - plan.path.work_s
         work_s = plan.path.work_s
         if self.line.need is Need.slot:
             work_s = slot_s / plan.decode.runner.slots
-        self.turn = Turn(self.job.on_time_s - rest_s, work_s)
+        self.turn = Turn(self.job.on_time_s - after_s, work_s)
 
 
 class Lines:
-    """Sorts the waiting requests of each line, with an eye on the other entries."""
+    """Finds the late requests of each queue, taking the queued work of peers into account."""
 
     def __init__(self, chooser: Chooser, backlog: Backlog) -> None:
-        """Ask ``chooser`` for the engines, and ``backlog`` for the rivals."""
+        """Take engines from runner selection, and the queued work of peers from ``backlog``."""
         self._chooser = chooser
         self._backlog = backlog
 
     def sort(self, waiters: Iterable[Waiter]) -> None:
-        """Find out which of the waiting requests are late."""
-        lines: dict[Line, list[Waiter]] = {}
+        """Mark which of the waiting requests are late, and publish the queued work to peers."""
+        queues: dict[Line, list[Waiter]] = {}
         for waiter in waiters:
-            lines.setdefault(waiter.line, []).append(waiter)
-        for line in lines.values():
-            self._triage(line)
+            queues.setdefault(waiter.line, []).append(waiter)
+        for queued in queues.values():
+            self._triage(queued)
         self.note(waiters)
 
     def note(self, waiters: Iterable[Waiter]) -> None:
-        """Have the other entries told what waits here now.
+        """Set the queued work that peers are sent.
 
-        Also when nothing does any more: what had gone would go on to raise
-        the price of engines, and late requests would be refused for it.
+        An empty queue is published too: otherwise requests that have gone would
+        keep raising the price of engines, and late requests would be refused for it.
         """
         by_target: dict[tuple[Line, float], list[Waiter]] = {}
         for waiter in waiters:
@@ -156,29 +159,30 @@
         self._backlog.own = tuple(map(_held, by_target.values()))
 
     def receive(self, newcomer: Waiter, line: Sequence[Waiter]) -> None:
-        """Find out whether ``newcomer`` is late behind those that are due before it, here and elsewhere.
+        """Find out whether ``newcomer`` is late behind the requests due before it, here and at peers.
 
-        Of the others' only the routes' targets are known: what has a longer
-        one comes after it. (Counted before it, long prompts that returned
-        after an outage had short ones refused that take 4 ms.)
+        Of requests at peers only the target of the route is known: those with a
+        longer target count as due after it. When they were counted before it,
+        long prompts retried after an outage caused refusals of short ones that
+        take 4 ms.
         """
         newcomer.update_turn(self._chooser.slot_s(newcomer.job.route.name))
         target_s = newcomer.job.route.target_s
-        ahead_s = _work_s(one for one in line if not one.late and one.turn.due_s <= newcomer.turn.due_s)
-        at_peers = (held.work_s for held in self._backlog.at_peers(newcomer.line) if held.target_s <= target_s)
-        ahead_s += self._share(newcomer.line) * sum(at_peers)
-        begin_s = _start_s(newcomer.line) + ahead_s / self._engines(newcomer)
+        before_s = _work_s(one for one in line if not one.late and one.turn.due_s <= newcomer.turn.due_s)
+        at_peers = (work.work_s for work in self._backlog.at_peers(newcomer.line) if work.target_s <= target_s)
+        before_s += self._share(newcomer.line) * sum(at_peers)
+        begin_s = _start_s(newcomer.line) + before_s / self._engines(newcomer)
         newcomer.late = begin_s + newcomer.turn.work_s > newcomer.turn.due_s
         newcomer.expect_wait(self.wait_s([*line, newcomer]) if newcomer.late else begin_s)
 
     def wait_s(self, line: Sequence[Waiter]) -> float:
-        """Return the seconds until all of ``line`` are through, late ones too."""
-        at_peers_s = sum(held.work_s + held.late_s for held in self._backlog.at_peers(line[0].line))
+        """Return the seconds until all waiters of a queue are done, late ones and those at peers included."""
+        at_peers_s = sum(work.work_s + work.late_s for work in self._backlog.at_peers(line[0].line))
         work_s = _work_s(line) + self._share(line[0].line) * at_peers_s
         return _start_s(line[0].line) + work_s / self._engines(line[0])
 
     def rivals(self, line: Line) -> float:
-        """Return how many requests in ``line`` at all entries can be on time."""
+        """Return how many requests of a queue can be on time, at all instances."""
         return self._backlog.requests(line)
 
     def _triage(self, line: Sequence[Waiter]) -> None:
@@ -189,16 +193,16 @@
             waiter.late = index in late
 
     def _stretch(self, line: Sequence[Waiter]) -> float:
-        """Return the seconds that pass for each engine second of a line.
+        """Return the seconds that pass for each engine second of a queue.
 
-        Other entries that hold work take turns with this one, for as long as
-        they have any.
+        Peers with queued work take turns with this instance, for as long as they
+        have any.
         """
-        held = self._backlog.at_peers(line[0].line)
+        at_peers = self._backlog.at_peers(line[0].line)
         own_s = _work_s(line)
         share = self._share(line[0].line)
-        rivals = min(len(held), sum(one.work_s for one in held) / own_s) if own_s else 0
-        return (1 + share * rivals) / self._engines(line[0])
+        competing = min(len(at_peers), sum(one.work_s for one in at_peers) / own_s) if own_s else 0
+        return (1 + share * competing) / self._engines(line[0])
 
     def _engines(self, waiter: Waiter) -> int:
         return max(self._chooser.engines(waiter.job, _stage_of(waiter.line)), 1)
@@ -208,12 +212,12 @@
 
 
 def must_wait(plan: EnginePlan) -> bool:
-    """Tell whether the engines of ``plan`` are too busy for it."""
+    """Tell whether the engines of ``plan`` are too busy for it, or have no permit."""
     return plan.view.wait_s > HOLD_ABOVE_S or plan.crowded or not plan.admitted
 
 
 def line_of(job: Job, plan: EnginePlan) -> Line:
-    """Return the line in which ``job`` waits for the engines of ``plan``."""
+    """Return the queue in which ``job`` waits for the engines of ``plan``."""
     if plan.crowded:
         return Line(job.service, Need.slot)
     return Line(job.service, Need.decode if plan.prefill is None else Need.prefill)
@@ -224,7 +228,7 @@
 
 
 def _start_s(line: Line) -> float:
-    """Return the seconds until an engine is free, while others wait for it."""
+    """Return the seconds until an engine takes the next request while requests are queued for it."""
     return 0 if line.need is Need.slot else HOLD_ABOVE_S
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/member.py
+++ b/packages/sesamepoint/src/sesamepoint/front/member.py
@@ -1,4 +1,4 @@
-"""What this process knows of one runner."""
+"""One runner of the fleet: registration, connections and known state."""
 
 from __future__ import annotations
 
@@ -29,27 +29,33 @@
     from sesamepoint.http1.messages import ResponseHead
     from sesamepoint.http1.transport import Network
 
-# Until the operator has published the memory of an engine.
+# Assumed cache size of an engine until the operator has published it, in tokens.
 UNKNOWN_KV_TOKENS = 200_000
-# With a runner all its requests break off at once; one look does for those of this
-# time, in seconds. With a look each, behind one another, the last of 24 requests was
-# answered 0.9 s later where the network let no connection come about.
+# A probe of whether a runner has ended is reused for this long, in seconds: when a runner
+# ends, all its requests fail at once. With a probe for each, one after the other, the last
+# of 24 requests was answered 0.9 s later in a network where connections got no reply.
 ONE_LOOK_S = 0.1
-
-
-# These are no requests of callers, and don't count as under way.
+# Calls that are not requests of callers and don't count as requests in progress.
 CALLS_BESIDES = frozenset((SendKind.inventory, SendKind.free_memory))
 
 
 class Member:
-    """One runner: its registration, its connections, and beliefs about it."""
+    """One incarnation of a runner: its registration, connections, load, health and reported status."""
 
     def __init__(self, runner: Runner, network: Network, gate: Gate, kv_tokens: int = UNKNOWN_KV_TOKENS) -> None:
-        """Know nothing but the registration; ``gate`` is asked before anything is sent to it."""
+        """Start from the registration only.
+
+        Parameters
+        ----------
+        gate
+            Decides whether anything may be sent to the runner, just before each send.
+        kv_tokens
+            Size of the KV cache, in tokens.
+        """
         self.runner = runner
         self._gate = gate
         self._words = gate.words
-        # Whether it is another start's turn, or none's.
+        # Whether a newer incarnation has taken its place, or it was dropped from the fleet.
         self.closed = False
         self.gone_at: float | None = None
         self.replaced = False
@@ -61,9 +67,9 @@
         self.kv_tokens = kv_tokens
         self.pace = Pace()
         self.in_flight = 0
-        # Whether it has answered anything since it is known here.
+        # Whether it has answered any request of this instance.
         self.answered = False
-        # Called when an answer of its address is another incarnation's.
+        # Called when an answer from its address comes from another incarnation.
         self.on_replaced: Callable[[Start], None] | None = None
         self._looked_at = -math.inf
         self._refused = False
@@ -71,53 +77,53 @@
 
     @property
     def start(self) -> Start:
-        """Return which run of its process this is about."""
+        """Return the incarnation of the runner that this member stands for."""
         return Start(self.runner.key, self.runner.born_ms)
 
     @property
     def leaving(self) -> bool:
-        """Tell whether it leaves, by its registration or by what it has said."""
+        """Tell whether it is draining, by its registration or its reported status."""
         return self.runner.leaving or self._belief.leaving
 
     @property
     def rests(self) -> bool:
-        """Tell whether it wants nothing from this instance now."""
+        """Tell whether it asked this instance for a back-off that still lasts."""
         return self._belief.rest_left_s(trio.current_time()) > 0
 
     @property
     def rests_elsewhere(self) -> bool:
-        """Tell whether it wants nothing from another instance now."""
+        """Tell whether it asked a peer for a back-off that still lasts."""
         return self._belief.hinted(trio.current_time())
 
     @property
     def has_room(self) -> bool:
-        """Tell whether it takes one request more of this instance, by its rest."""
+        """Tell whether it takes one more request of this instance: none in a back-off, few just after one."""
         return self.in_flight < self._belief.room(trio.current_time())
 
     def closed_to(self, purpose: Purpose) -> str:
-        """Return what would keep ``purpose`` from being sent if it were chosen now; empty if nothing does."""
+        """Return the condition that forbids to send ``purpose`` to the runner now; empty if none does."""
         return self._gate.closed_by(Passage(self, purpose, self.in_flight))
 
     async def connection(self, purpose: Purpose) -> ClientConn:
-        """Return a connection that asks the gate before it sends anything.
+        """Return a connection that runs the admission check before it sends anything.
 
         Raises
         ------
         ConnectFailedError
-            If there is none, and no new one came about.
+            If there is no idle connection, and a new one failed.
         """
         return await self._pool.take(partial(self._pass, purpose))
 
     def give_back(self, conn: ClientConn) -> None:
-        """Take a connection back."""
+        """Return a connection to the pool."""
         self._pool.give_back(conn)
 
     async def has_ended(self) -> bool:
-        """Tell whether the runner, where a connection has just broken, has ended unplanned.
+        """Tell whether the runner has crashed, after a connection to it broke.
 
-        Runners also lose answers, and networks connections, while the runner
-        lives and takes new ones: its requests are not to blame for an end. Nor
-        are they if it was about to leave.
+        A runner that accepts new connections is alive: it lost an answer, or the
+        network lost a connection, and no request is suspected of having ended it.
+        The same holds for a runner that is draining or no longer registered.
         """
         if self.leaving or self.gone_at is not None:
             return False
@@ -128,10 +134,15 @@
             return self._refused
 
     def note_replaced(self, source: str) -> None:
-        """Note that another incarnation has its address, as ``source`` tells: an answer, or another instance.
+        """Note that another incarnation has its address.
+
+        Its registration may stay in the store for seconds. A request sent there until
+        then would be turned away by the runner, and still count as an arrival.
 
-        Its registration may stay for seconds. Each request sent there until then
-        would be turned away, and count as an arrival all the same.
+        Parameters
+        ----------
+        source
+            Where this is known from: an answer, or another instance.
         """
         if self.replaced:
             return
@@ -142,20 +153,21 @@
             self.on_replaced(self.start)
 
     def same_start(self, runner: Runner) -> bool:
-        """Tell whether a registration is of the start that this is about.
+        """Tell whether a registration is of the same incarnation of the runner.
 
-        A new address is one too: connections to the old one lead elsewhere.
+        A new address also means a new incarnation, since connections to the old
+        address lead elsewhere.
         """
         return (runner.born_ms, runner.address) == (self.runner.born_ms, self.runner.address)
 
     def resize(self, kv_tokens: int) -> None:
-        """Take the size of its memory, in tokens, as the operator publishes it."""
+        """Set the size of its KV cache, in tokens, as published by the operator."""
         if kv_tokens != self.kv_tokens:
             self.kv_tokens = kv_tokens
             self.cache.resize(kv_tokens)
 
     def close(self) -> None:
-        """Close idle connections; what is under way goes on."""
+        """Close idle connections; requests in progress go on."""
         self.closed = True
         self._pool.close()
 
@@ -164,7 +176,7 @@
         return self._words.belief_of(self.start)
 
     def _pass(self, purpose: Purpose) -> None:
-        # A request of a caller is under way there already.
+        # A request of a caller already counts as in flight itself.
         beside = self.in_flight if purpose.kind in CALLS_BESIDES else self.in_flight - 1
         condition = self._gate.closed_by(Passage(self, purpose, beside))
         if condition:
--- a/packages/sesamepoint/src/sesamepoint/front/places.py
+++ b/packages/sesamepoint/src/sesamepoint/front/places.py
@@ -1,4 +1,4 @@
-"""Requests that wait, since all runners that could take them name limits or rest."""
+"""Queue of requests whose eligible runners are all rate-limited or backing off."""
 
 from __future__ import annotations
 
@@ -23,31 +23,35 @@
     from sesamepoint.front.runner_words import RunnerWords
     from sesamepoint.front.usable import Usable
 
-# A runner without a limit may have room again: waiting requests look so often, in seconds.
+# Waiting requests check this often, in seconds, whether a runner without a limit admits them.
 LOOK_S = 0.05
-# A permit is wanted beforehand for so long after a request for the service, in seconds.
+# For this long after a request for a service, in seconds, a permit is requested in advance.
 LATELY_S = 1.0
-# Share of the time that its caller waits for a first sign for which a request may wait
-# here; a caller that is refused comes back in the rest.
+# A request may wait here for this share of the time that its caller waits for the start of
+# an answer; a caller that is refused can retry in the rest of that time.
 MAX_WAIT_SHARE = 0.4
-# From this share of the time to be on time it goes behind those that still can be: the
-# rest is for its run.
+# A request that has used this share of its target goes behind those that can still be on
+# time: the rest of the target is needed for its run.
 ON_TIME_SHARE = 0.6
-# What a late answer is worth against one on time.
+# Worth of a late answer, as a share of the worth of one on time.
 LATE_SHARE = 0.3
-# With less left than this, in seconds, a request would hardly be answered any more.
+# With less time left than this, in seconds, a request could hardly be answered.
 MIN_SPARE_S = 0.2
-# A request asks for the permit of one runner at first, and after so many seconds for
-# those of all: asking for more than it takes, urgent ones would use up all permits.
+# For this many seconds a request counts as demand for a permit of one runner only, then of
+# all that it may be sent to. Counted at all at once, urgent requests would get all permits.
 ASKS_ONE_S = 0.1
-# Requests a second that an instance expects to send to a runner that has just rested.
+# Requests per second that an instance expects to send to a runner just after a back-off.
 RATE_AFTER_REST = 8.0
-# Callers that are told to come back are spread over no more than this, in seconds.
+# Retries of refused callers are spread over no more than this, in seconds.
 LONGEST_RETURN_S = 10.0
 
 
 class _Waiter:
-    """One waiting request."""
+    """One waiting request.
+
+    It has a longest wait, in seconds, after which its turn is overdue, and a
+    time until which it may stay in the queue.
+    """
 
     def __init__(self, job: Job, starts: frozenset[Start], turn: int) -> None:
         self.job = job
@@ -55,44 +59,51 @@
         self.until = _patient_until(job)
         self._asks_first = sorted(starts)[turn % len(starts)] if starts else None
         self._began = trio.current_time()
-        # How soon it had to have its turn when it came: the longer it has waited, the sooner it has.
+        # Counted from its arrival. It is compared with forecasts from now on, which makes the
+        # check more lenient the longer it has waited: its turn is then the sooner.
         self.due_s = _due_by(job) - self._began
         self.decided = trio.Event()
         self.refused = False
 
     def asks(self, start: Start) -> bool:
-        """Tell whether it asks for a permit to send to ``start``: it takes one of any that it may be sent to."""
+        """Tell whether it counts as demand for a permit of ``start``; it takes one of any runner that may serve it."""
         if trio.current_time() - self._began > ASKS_ONE_S:
             return start in self.starts
         return start == self._asks_first
 
     @property
     def order(self) -> tuple[Rank, float]:
-        """Return what decides who goes first: priority, then size, then who has less time."""
+        """Return the sort key of the queue: priority, then worth by size, then deadline."""
         return rank_of(self.job), self.job.first_deadline
 
 
 class _Outlook(NamedTuple):
-    """When the runners that a request waits for take any, and how many a second then.
-
-    ``rate`` is infinite if one of them takes all as soon as it has answered once.
+    """Forecast of when the runners of a waiting request admit requests again, and at which rate.
+
+    Parameters
+    ----------
+    opens_s
+        Seconds until the first back-off ends; 0 if one of the runners is not backing off.
+    rate
+        Requests per second from then on; infinite if a runner without a limit only
+        has to answer its first request before it admits all.
     """
 
     opens_s: float
     rate: float
 
     def wait_s(self, ahead: int) -> float:
-        """Return how long a request waits with so many before it; at the end of a rest the first goes at once."""
+        """Return the wait with ``ahead`` requests before it; the first one is sent as soon as a back-off ends."""
         if not self.rate:
             return math.inf
         return self.opens_s + ahead / self.rate if self.opens_s else (ahead + 1) / self.rate
 
 
 class Places:
-    """Lets waiting requests go, the most urgent first, and refuses what would wait in vain."""
+    """Releases waiting requests, the most urgent first, and refuses those that would wait too long."""
 
     def __init__(self, words: RunnerWords, usable: Usable) -> None:
-        """Wait for runners that are ``usable``, by what ``words`` has of them."""
+        """Find the runners to wait for, and their limits and back-offs by their reported status."""
         self._words = words
         self._limits = words.limits
         self._looked_at = -math.inf
@@ -100,7 +111,7 @@
         self._waiters: dict[_Waiter, None] = {}
         self._turns = 0
         self._asked_at: dict[str, float] = {}
-        # Until when callers that were refused have been told to come back, by service.
+        # Time of the latest retry that a refused caller was given, by service.
         self._returns_until: dict[str, float] = {}
 
     def count(self) -> int:
@@ -108,11 +119,11 @@
         return len(self._waiters)
 
     def note_request(self, service: str) -> None:
-        """Note that there is a request for ``service``: a permit may be wanted soon."""
+        """Note a request for ``service``, so that permits are requested in advance for a while."""
         self._asked_at[service] = trio.current_time()
 
     async def wait(self, job: Job) -> bool:
-        """Wait until ``job`` may be sent to some runner; False if it is refused or there is no runner to wait for."""
+        """Wait until ``job`` may be sent to a runner; return False if it is refused or no runner could admit it."""
         self._turns += 1
         waiter = _Waiter(job, self._usable.closed(job), self._turns)
         if not waiter.starts:
@@ -128,32 +139,36 @@
             job.notes.held_s += trio.current_time() - began
 
     def wish(self, member: Member, held: Iterable[Job], stock: int) -> Wish:
-        """Return the permits that are wanted for ``member``, also for jobs ``held`` elsewhere; there are ``stock``."""
+        """Return how many permits to request for ``member``, and the rank of the first request that needs one.
+
+        Counted are the requests queued here and those that wait for a prefill
+        engine, less the permits that are available.
+        """
         ranks = [rank_of(waiter.job) for waiter in self._waiters if waiter.asks(member.start)]
         ranks.extend(rank_of(job) for job in held)
-        lately = trio.current_time() - self._asked_at.get(member.runner.service, -math.inf) < LATELY_S
+        recent = trio.current_time() - self._asked_at.get(member.runner.service, -math.inf) < LATELY_S
         first = min(ranks, default=NOTHING_WAITS)
-        # The others have their turn when these are through, at a rank of their own.
-        alike = sum(rank.priority == first.priority for rank in ranks)
-        return Wish(max(alike - stock, lately - stock, 0), first)
+        # Requests of lower priority are counted at their own rank, once these have been sent.
+        same_priority = sum(rank.priority == first.priority for rank in ranks)
+        return Wish(max(same_priority - stock, recent - stock, 0), first)
 
     def hand_out(self, start: Start) -> None:
-        """Let requests go that wait for the runner of ``start``, as far as there are permits."""
+        """Release requests that wait for the runner of ``start``, a permit each, until permits run out."""
         for waiter in sorted(self._waiting_for(start), key=_order):
             if not self._limits.reserve(start, waiter.job):
                 return
             self._release(waiter)
 
     def let_go(self) -> None:
-        """Let requests go that may be sent to some runner by now, to one that has rested a few at a time."""
+        """Release requests that some runner admits by now; after a back-off a runner gets a few at a time."""
         self._looked_at = trio.current_time()
-        room: dict[Start, float] = {}
+        capacity: dict[Start, float] = {}
         for waiter in sorted(self._waiters, key=_order):
             for member in self._usable.open_to(waiter.job):
                 start = member.start
-                left = room.get(start, self._room(member))
+                left = capacity.get(start, self._room(member))
                 if left > 0:
-                    room[start] = left - 1
+                    capacity[start] = left - 1
                     self._release(waiter)
                     break
 
@@ -182,7 +197,7 @@
         return (waiter for waiter in self._waiters if start in waiter.starts)
 
     def _refuse_hopeless(self) -> None:
-        """Refuse at once those that would wait for longer than they can, behind all that go before them."""
+        """Refuse at once the requests whose turn would come too late, behind all that go before them."""
         ahead = 0
         for waiter in sorted(self._waiters, key=_order):
             if self._outlook(waiter).wait_s(ahead) <= waiter.due_s:
@@ -194,33 +209,33 @@
         job = waiter.job
         waiter.refused = True
         job.notes.refused = True
-        outlook = self._outlook(waiter)
-        rest = any(math.isfinite(self._room_of(start)) for start in waiter.starts)
-        job.notes.held_back = Cause.resting if rest else Cause.limited
-        job.retry_after_s = self._return_s(job, outlook)
+        forecast = self._outlook(waiter)
+        backing_off = any(math.isfinite(self._room_of(start)) for start in waiter.starts)
+        job.notes.held_back = Cause.resting if backing_off else Cause.limited
+        job.retry_after_s = self._return_s(job, forecast)
         events.log_event(
-            events.REST_REFUSED if rest else events.LIMIT_REFUSED,
+            events.REST_REFUSED if backing_off else events.LIMIT_REFUSED,
             request=job.req.request_id,
             runners=sorted(start.runner for start in waiter.starts),
             waiting=len(self._waiters),
-            opens_ms=whole_ms(outlook.opens_s),
-            rate=_shown(outlook.rate),
+            opens_ms=whole_ms(forecast.opens_s),
+            rate=_shown(forecast.rate),
             left_ms=whole_ms(job.first_left_s),
             retry_after_s=job.retry_after_s,
         )
         self._release(waiter)
 
     def _return_s(self, job: Job, outlook: _Outlook) -> float:
-        """Return when its caller may come back: each refused one gets a place in the rate to come."""
+        """Return when the caller may retry, in seconds: retries are spaced by the forecast rate."""
         rate = outlook.rate
         if not rate or math.isinf(rate):
             return when_unknown_s(job.caller_left_s)
         now = trio.current_time()
         queued_until = now + outlook.opens_s + len(self._waiters) / rate
-        returns_at = max(self._returns_until.get(job.service, 0), queued_until) + 1 / rate
-        if returns_at <= now + LONGEST_RETURN_S:
-            self._returns_until[job.service] = returns_at
-        return heeded_s(returns_at - now, job.caller_left_s)
+        retry_at = max(self._returns_until.get(job.service, 0), queued_until) + 1 / rate
+        if retry_at <= now + LONGEST_RETURN_S:
+            self._returns_until[job.service] = retry_at
+        return heeded_s(retry_at - now, job.caller_left_s)
 
     def _release(self, waiter: _Waiter) -> None:
         waiter.decided.set()
@@ -228,21 +243,21 @@
         self._limits.fresh.set()
 
     def _outlook(self, waiter: _Waiter) -> _Outlook:
-        rests = {start: self._words.belief_of(start).rest_left_s(trio.current_time()) for start in waiter.starts}
-        opens_s = min(rests.values(), default=0)
-        # Of those that rest for longer it has nothing.
+        back_offs = {start: self._words.belief_of(start).rest_left_s(trio.current_time()) for start in waiter.starts}
+        opens_s = min(back_offs.values(), default=0)
+        # Runners whose back-off outlasts this can't serve the request in time.
         in_time_s = max(opens_s, waiter.due_s)
-        rates = (self._rate(start, waiter.job) for start, rest_s in rests.items() if rest_s <= in_time_s)
+        rates = (self._rate(start, waiter.job) for start, left_s in back_offs.items() if left_s <= in_time_s)
         return _Outlook(opens_s, sum(rates))
 
     def _rate(self, start: Start, job: Job) -> float:
         limit = self._limits.expected_rate(start, job.priority)
-        after_rest = RATE_AFTER_REST if math.isfinite(self._room_of(start)) else math.inf
-        return after_rest if limit is None else min(limit, after_rest)
+        ramp_up = RATE_AFTER_REST if math.isfinite(self._room_of(start)) else math.inf
+        return ramp_up if limit is None else min(limit, ramp_up)
 
 
 def rank_of(job: Job) -> Rank:
-    """Return the rank in which ``job`` gets a permit: by priority, then by worth, of which a late answer has less."""
+    """Return the rank in which ``job`` gets a permit: by priority, then by worth, which is less for a late answer."""
     size = 1 if job.req.prompt is None else 1 + job.req.prompt.tokens
     timely = job.on_time_s > (1 - ON_TIME_SHARE) * job.route.target_s
     worth = size if timely else LATE_SHARE * size
@@ -250,7 +265,12 @@
 
 
 def _patient_until(job: Job) -> float:
-    """Return until when ``job`` may wait: while it can be on time, or at the end to be answered at all."""
+    """Return until when ``job`` may wait, as a time of the trio clock.
+
+    A retry, or a request that was sent before, may wait while it can be answered
+    at all; any other while it can be on time, or for its share of the time that
+    its caller waits, if that is longer.
+    """
     if job.returned or job.sends:
         return job.first_deadline - MIN_SPARE_S
     allowed_s = MAX_WAIT_SHARE * (job.first_deadline - job.req.arrived)
@@ -258,7 +278,7 @@
 
 
 def _due_by(job: Job) -> float:
-    """Return by when ``job`` has to have its turn to be on time, or to be answered if it can't be."""
+    """Return by when ``job`` must be sent to be on time, or for a retry or resend to be answered at all."""
     if job.returned or job.sends:
         return _patient_until(job)
     return job.req.arrived + ON_TIME_SHARE * job.route.target_s
--- a/packages/sesamepoint/src/sesamepoint/front/pool.py
+++ b/packages/sesamepoint/src/sesamepoint/front/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one runner."""
+"""Pool of idle connections to one runner."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
     from sesamepoint.http1.client import OnHead
     from sesamepoint.http1.transport import Network
 
-# A runner closes idle connections after a time that it may not tell. What
-# has been idle for longer than this is not used again, since a request that
-# crosses the close may or may not have run.
+# Longest idle time of a connection that is used again, in seconds, if the runner announces
+# no keep-alive time. A request sent while the runner closes the connection may or may not
+# have run.
 UNTOLD_IDLE_S = 4.0
-# Share of a told idle time that is used, for the same reason: of 10 s it
-# leaves two for a runner or an entry that is slow to notice the end.
+# Share of an announced keep-alive time that is used, for the same reason: of 10 s it
+# leaves 2 s for a runner or an instance that is slow to notice the end.
 IDLE_SHARE = 0.8
-# In one zone a connection takes under a millisecond, between zones three; a
-# lost packet is sent again after 0.2 s.
+# Within a zone connecting takes under 1 ms, between zones 3 ms; a lost packet is sent
+# again after 0.2 s.
 CONNECT_S = 0.45
-# Whether a runner still listens is told within a round trip, in seconds; if the
-# network is silent that is no sign of its end, and callers wait for their retry.
+# A runner that no longer listens refuses a connection within one round trip. No reply says
+# nothing about the runner, and callers wait for their retry meanwhile, so the limit is short.
 LOOK_S = 0.1
 
 
 class Pool:
-    """Connections to one runner that are not in use."""
+    """Idle connections to one runner."""
 
     def __init__(self, address: Address, network: Network, on_head: OnHead | None = None) -> None:
-        """Aim at ``address`` over ``network``; opens nothing yet.
+        """Prepare for connections to ``address`` over ``network``; none is opened yet.
 
         ``on_head`` is called with the head of each response on any of the connections.
         """
@@ -45,12 +45,12 @@
         self._idle: list[ClientConn] = []
 
     async def take(self, admit: Callable[[], None]) -> ClientConn:
-        """Return a connection, kept or new, which asks ``admit`` before it sends anything.
+        """Return an idle or new connection, which calls ``admit`` before it sends anything.
 
         Raises
         ------
         ConnectFailedError
-            If a new one was needed and did not come about.
+            If a new connection was needed and failed.
         """
         now = trio.current_time()
         while self._idle:
@@ -64,7 +64,7 @@
         return conn
 
     async def refuses(self) -> bool:
-        """Tell whether nobody listens at the address; a connection that comes about is kept."""
+        """Tell whether the address refuses a new connection; one that succeeds goes into the pool."""
         try:
             conn = await self._connect(LOOK_S)
         except ConnectFailedError as exc:
@@ -73,8 +73,8 @@
         return False
 
     def give_back(self, conn: ClientConn) -> None:
-        """Keep ``conn`` if it can carry another request, else close it."""
-        # What is kept must not keep the request before it in memory.
+        """Return ``conn`` to the pool if it can carry another request, else close it."""
+        # An idle connection must not keep its last request in memory.
         conn.admit = None
         if conn.recycle():
             self._idle.append(conn)
@@ -82,7 +82,7 @@
             conn.close()
 
     def close(self) -> None:
-        """Close what is idle."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
--- a/packages/sesamepoint/src/sesamepoint/front/prefill.py
+++ b/packages/sesamepoint/src/sesamepoint/front/prefill.py
@@ -1,4 +1,4 @@
-"""Having a prompt read at one runner, for another to go on from."""
+"""Remote prefill: one engine prefills a prompt whose decode runs at another."""
 
 from __future__ import annotations
 
@@ -25,31 +25,36 @@
     from sesamepoint.http1.messages import ResponseHead
 
 STATUS_OK = 200
-# Giving memory back is worth little; a runner that does not answer keeps it
-# until the handle lapses.
+# Timeout of a call that frees a handle. It may fail: the runner frees the memory itself
+# when the handle expires.
 FREE_S = 1.0
-# Handles that wait to be freed; more only pile up while a runner hangs.
+# Queue length of handles to be freed; it fills up only while a runner hangs.
 MAX_WAITING = 256
 
 
 class Prefilled(NamedTuple):
-    """Where the memory of a read prompt lies."""
+    """Location of the KV cache of a prefilled prompt."""
 
     member: Member
     kv_handle: str
 
     @property
     def source(self) -> str:
-        """Return the address and handle as the next runner wants them."""
+        """Return the address and handle in the form that the decode engine expects."""
         return f'{self.member.runner.address}/{self.kv_handle}'
 
 
 class PrefillFailed(NamedTuple):
-    """Why a prompt was not read apart.
+    """Cause of a failed remote prefill.
 
-    ``silent`` if no answer came in the time allowed, ``replaced`` if another
-    incarnation has the runner's address by now, ``ended`` if the runner takes
-    no connections any more.
+    The first flag is set if no answer came before the timeout.
+
+    Parameters
+    ----------
+    replaced
+        Whether another incarnation now has the runner's address.
+    ended
+        Whether the runner refuses connections, so that it has ended.
     """
 
     cause: str
@@ -63,7 +68,7 @@
 
 
 async def prefill(req: FrontRequest, target: Target, reply: Reply) -> Prefilled | PrefillFailed | Withheld:
-    """Have the prompt of ``req`` read, if the caller of ``reply`` is still there."""
+    """Send the prompt of ``req`` to ``target`` for prefill, if the caller of ``reply`` is still connected."""
     member = target.member
     ticket = member.health.sent(trio.current_time())
     member.in_flight += 1
@@ -116,20 +121,22 @@
 
 
 class HandleReclaimer:
-    """Gives back memory that no runner will take over."""
+    """Frees KV cache handles that no decode engine will fetch."""
 
     def __init__(self) -> None:
-        """Start with nothing to free."""
+        """Start with an empty queue."""
         channel = trio.open_memory_channel[Prefilled](MAX_WAITING)
         self._send = channel[0]
         self._receive = channel[1]
 
     def drop(self, prefilled: Prefilled) -> None:
-        """Have ``prefilled`` freed soon."""
+        """Queue ``prefilled`` to be freed; if the queue is full, its handle is left to expire."""
         try:
             self._send.send_nowait(prefilled)
         except trio.WouldBlock:
-            events.log_event(events.HANDLE_LEFT, runner=prefilled.member.runner.key, cause='too many wait')
+            events.log_event(
+                events.HANDLE_LEFT, runner=prefilled.member.runner.key, cause='too many handles are queued'
+            )
 
     async def run(self) -> None:
         """Free handles until cancelled."""
@@ -138,7 +145,7 @@
                 await self._free(prefilled)
 
     async def _free(self, prefilled: Prefilled) -> None:
-        """Free a handle; it lapses by itself where the runner wants no message, or gets none."""
+        """Free a handle; it expires by itself if the runner may not be called or the call fails."""
         member = prefilled.member
         runner = member.runner
         purpose = Purpose(SendKind.free_memory)
--- a/packages/sesamepoint/src/sesamepoint/front/return_time.py
+++ b/packages/sesamepoint/src/sesamepoint/front/return_time.py
@@ -1,39 +1,51 @@
-"""When a refused caller should come back."""
+"""Retry times for refused callers."""
 
 from __future__ import annotations
 
-# Callers heed no more than this share of the time that they have left.
+# A retry time longer than this share of their remaining time is not heeded by callers.
 MAX_SHARE = 1 / 3
-# What a caller is taken to have left that named no deadline, in seconds.
+# Assumed remaining time of a caller that named no deadline, in seconds.
 UNNAMED_S = 3.0
 
 
 def when_unknown_s(left_s: float | None) -> float:
-    """Return when to come back if nobody knows when there will be an engine.
-
-    A caller comes back once or a few times, so a return must not be spent
-    while what keeps it from being served still lasts: a store that shows no
-    runners was away for seconds each time. Told to come back after 0.1 s,
-    callers came back to the same refusal after a loss of all entries: of some
-    260 that were refused over a hundred were never served. It is a share of
-    the caller's own time, so those that have more come later, when more is up.
+    """Return the retry time if it can't be forecast when a runner is available, in seconds.
+
+    A caller retries once or a few times, so it should not retry before the cause
+    of its refusal is over: a store without a list of runners was unavailable for
+    seconds each time. With a retry time of 0.1 s callers met the same refusal
+    again after a loss of all instances: of some 260 refused callers more than a
+    hundred were never served. The time is a share of the caller's remaining time,
+    so that callers with more time retry later, when more runners are up.
+
+    Parameters
+    ----------
+    left_s
+        Remaining time of the caller, in seconds; None if it named no deadline.
     """
-    known_s = UNNAMED_S if left_s is None else left_s
-    return MAX_SHARE * max(known_s, 0)
+    remaining_s = UNNAMED_S if left_s is None else left_s
+    return MAX_SHARE * max(remaining_s, 0)
 
 
 def hold_s(left_s: float | None, first_left_s: float) -> float:
-    """Return how long to keep a request while no runner is known yet.
-
-    An entry that has just started mostly knows its runners within a tenth of
-    a second, and a caller that came back has no other chance. No longer than
-    half of the time for which its caller waits for a first sign.
+    """Return for how many seconds to keep a request while no runner is known yet.
+
+    An instance that has just started mostly knows its runners within 0.1 s, and a
+    retry may be the last of its caller. The wait is at most half of the time for
+    which the caller still waits for the start of an answer.
+
+    Parameters
+    ----------
+    left_s
+        Remaining time of the caller, in seconds; None if it named no deadline.
+    first_left_s
+        Remaining time for the start of an answer, in seconds.
     """
     return min(when_unknown_s(left_s), first_left_s / 2)
 
 
 def heeded_s(wait_s: float, left_s: float) -> float:
-    """Return when to come back after ``wait_s``, as far as callers heed it."""
+    """Return ``wait_s``, capped to the longest retry time that the caller heeds, in seconds."""
     return min(wait_s, when_unknown_s(left_s))
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/usual_deadlines.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usual_deadlines.py
@@ -1,16 +1,16 @@
-"""Telling callers that come back from those that come for the first time."""
+"""Detection of retries by callers, from the deadlines of their requests."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# The longest deadline of a route is that of the last one or two of these, in
-# seconds: long enough to hold some first attempts of each route, short enough
-# to follow callers that change theirs.
+# The longest deadline of a route is taken over the last one to two windows of this many
+# seconds: long enough to contain some first attempts of each route, short enough to
+# follow callers that change their deadlines.
 WINDOW_S = 30.0
-# A caller with less than this share of the longest deadline of its route has
-# tried before. First attempts of one route differ by up to 15%; whoever comes
-# back after a third of its time has at most two thirds of it left.
+# A request with less than this share of the longest deadline of its route is a retry.
+# Deadlines of first attempts of one route differ by up to 15%; a caller that retries
+# after a third of its time has at most two thirds left.
 RETURNED_SHARE = 0.8
 
 
@@ -21,29 +21,37 @@
 
 
 class UsualDeadlines:
-    """The longest deadline that callers of each route named lately.
+    """The longest recent deadline of each route, to recognise retries.
 
-    Nothing else tells that a caller comes back: its request has a new id.
+    Nothing else marks a retry: its request has a new id.
     """
 
     def __init__(self) -> None:
-        """Know of no route."""
+        """Start without any route."""
         self._longest: dict[str, _Longest] = {}
 
     def returned(self, route: str, deadline_s: float | None, now: float) -> bool:
-        """Count a request of ``route``, and tell whether its caller has tried before."""
+        """Record the deadline of a request of ``route``, and tell whether the request is a retry.
+
+        Parameters
+        ----------
+        deadline_s
+            Seconds that the caller has left; None if it named no deadline.
+        now
+            Time in seconds, of any clock that only goes forward.
+        """
         if deadline_s is None:
             return False
-        known = self._longest.get(route, _Longest(now, 0, 0))
-        if now - known.began > WINDOW_S:
-            known = _Longest(now, 0, known.newest_s)
-        known = known._replace(newest_s=max(known.newest_s, deadline_s))
-        self._longest[route] = known
-        return deadline_s < RETURNED_SHARE * max(known.newest_s, known.before_s)
+        longest = self._longest.get(route, _Longest(now, 0, 0))
+        if now - longest.began > WINDOW_S:
+            longest = _Longest(now, 0, longest.newest_s)
+        longest = longest._replace(newest_s=max(longest.newest_s, deadline_s))
+        self._longest[route] = longest
+        return deadline_s < RETURNED_SHARE * max(longest.newest_s, longest.before_s)
 
     def forget_but(self, routes: frozenset[str]) -> None:
-        """Forget all routes but ``routes``."""
-        self._longest = {name: known for name, known in self._longest.items() if name in routes}
+        """Forget all routes except ``routes``."""
+        self._longest = {name: longest for name, longest in self._longest.items() if name in routes}
 
 
 __all__ = ('UsualDeadlines',)
--- a/packages/sesamepoint/src/sesamepoint/front/waiting.py
+++ b/packages/sesamepoint/src/sesamepoint/front/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait at this entry for an engine."""
+"""Queue of requests that wait at this instance for an engine."""
 
 from __future__ import annotations
 
@@ -23,36 +23,35 @@
     from sesamepoint.front.job import Job
     from sesamepoint.front.sends import SendNotes
 
-# Pause between two looks at the waiting requests, in seconds: short against
-# the work of one prompt. After a look in vain the next one may come later:
-# with hundreds of requests waiting, looking took all of the processor, and
-# the leaving of callers was noticed half a second late.
+# Interval between two passes over the queue, in seconds: short against the work of
+# one prompt. It is longer after a pass that released nothing: with hundreds of waiting
+# requests the passes took a whole processor, and disconnected callers were noticed
+# half a second late.
 LOOK_S = 0.005
 VAIN_LOOK_S = 0.015
-# When an engine becomes free, entries wait for a moment drawn from this span
-# before one sends long work: without it, all that hold requests sent one each
-# in the 7 ms that their words to each other take, and an engine that was to
-# have 0.1 s of work had 0.3 to 0.8 s.
+# When an engine becomes free, an instance delays long work by a random time of up to
+# this many seconds. Without it, each instance with queued requests sent one within the
+# 7 ms that announcements take, and an engine meant to have 0.1 s of work had 0.3 to 0.8 s.
 BACK_OFF_S = 0.04
-# Requests of one route that are looked at in vain before the rest of the
-# route waits for the next look; they would mostly find the same.
+# After this many requests of a route that could not be released, a pass skips the rest
+# of the route: they would mostly fail too.
 VAIN_LOOKS = 1
-# A request that can't be on time waits for no more than this share of its
-# time: what is let in should be served in any case, and a guess of a wait is
-# off by half and more. Held for three quarters of it, most were still not
-# served, and came back too late to be.
+# A request that can't be on time waits for no more than this share of the time that its
+# caller waits. An accepted request should be served in any case, and estimates of a wait
+# are off by half or more. With three quarters, most were still not served, and
+# their callers retried too late to be.
 MAX_WAIT_SHARE = 0.4
 
 
 class WaitingRoom:
-    """Lets waiting requests go to engines, those that can be on time first.
+    """Releases waiting requests to engines, those that can be on time first.
 
-    One task looks after all of them: with a timer each, a burst of some
-    hundred would take the whole processor and starve what is under way.
+    One task serves the whole queue. With a timer for each request, a burst of
+    some hundred would take the whole processor and starve requests in progress.
     """
 
     def __init__(self, chooser: Chooser, sends: SendNotes, rng: Random) -> None:
-        """Ask ``chooser`` for the ways, and tell peers through ``sends`` what is held."""
+        """Plan each request by runner selection, and report the queue to peers through ``sends``."""
         self._chooser = chooser
         self._sends = sends
         self._rng = rng
@@ -62,19 +61,26 @@
         self._somebody = trio.Event()
 
     def holds(self, job: Job, plan: EnginePlan) -> bool:
-        """Tell whether a request that comes now with ``plan`` has to wait.
+        """Tell whether a request that arrives now with ``plan`` has to wait.
 
-        Also if its prefill engine is free: others may wait for it since before.
+        It has to even if its prefill engine is free, when requests that can be
+        on time are already queued for prefill engines.
         """
         if must_wait(plan):
             return True
-        line = line_of(job, plan)
-        if line.need is not Need.prefill:
+        queue = line_of(job, plan)
+        if queue.need is not Need.prefill:
             return False
-        return any(waiter.line == line and not waiter.late for waiter in self._waiters)
+        return any(waiter.line == queue and not waiter.late for waiter in self._waiters)
 
     async def plan(self, job: Job, prompt: Prompt, cfg: Configuration, plan: EnginePlan) -> EnginePlan | None:
-        """Wait until some engine has nearly got to the request; None if it is refused."""
+        """Wait until an engine is nearly free for the request.
+
+        Returns
+        -------
+        EnginePlan | None
+            The newest plan; None if the request is refused or no engine can run it.
+        """
         waiter = Waiter(job, prompt, cfg, plan)
         if self._refuses(waiter):
             return None
@@ -90,26 +96,26 @@
         return waiter.plan
 
     async def run(self) -> None:
-        """Look after waiting requests until cancelled."""
+        """Serve the queue until cancelled."""
         while True:
             await self._somebody.wait()
-            let_go = await self._look()
+            released = await self._look()
             if not self._waiters:
                 self._somebody = trio.Event()
-            await trio.sleep(LOOK_S if let_go else VAIN_LOOK_S)
+            await trio.sleep(LOOK_S if released else VAIN_LOOK_S)
 
     def count(self) -> int:
         """Return how many requests wait."""
         return len(self._waiters)
 
     def wanting(self, runner: str) -> list[Job]:
-        """Return the jobs that wait for a permit to be read at ``runner``."""
+        """Return the jobs that wait for a permit for prefill at ``runner``."""
         return [one.job for one in self._waiters if one.waits_for_permit_of(runner)]
 
     def _refuses(self, waiter: Waiter) -> bool:
-        """Turn away what would wait too long, with a time to come back."""
-        line = [other for other in self._waiters if other.line == waiter.line]
-        self._lines.receive(waiter, line)
+        """Refuse a new request that would wait too long, and set its retry time; return whether it is refused."""
+        queued = [other for other in self._waiters if other.line == waiter.line]
+        self._lines.receive(waiter, queued)
         if not waiter.late or not waiter.refusable:
             return False
         if self._lines.rivals(waiter.line) and not waiter.small and not waiter.job.returned:
@@ -124,11 +130,11 @@
         return True
 
     def _refuses_returned(self, waiter: Waiter) -> bool:
-        """Turn away a caller that came back only if it can't be served at all.
+        """Refuse the retry of a caller only if it can't be served at all; return whether it is refused.
 
-        Callers come back once or a few times. Refused again like those that
-        come for the first time, 15 of 2,000 callers were never served on a
-        quiet day, and 30 to 60 of 3,000 on days with trouble.
+        Callers retry once or a few times. When retries were refused like first
+        attempts, 15 of 2,000 callers were never served on a quiet day, and 30 to
+        60 of 3,000 on days with failures.
         """
         if waiter.expected_s <= waiter.spare_s and not waiter.too_late:
             return False
@@ -136,26 +142,29 @@
         return True
 
     async def _look(self) -> bool:
-        """Look at the last calls, those that can be on time, then the rest; tell if one went."""
+        """Make one pass over the queue; return whether a request was released to an engine.
+
+        Urgent retries come first, then requests that can be on time, then late ones.
+        """
         self._lines.sort(self._waiters)
-        hopeless = [one for one in self._waiters if self._hopeless(one)]
-        for waiter in hopeless:
+        refused = [one for one in self._waiters if self._hopeless(one)]
+        for waiter in refused:
             waiter.refuse(waiter.job.caller_left_s)
             self._release(waiter)
-        last = await self._look_at([one for one in self._waiters if one.last_call])
+        urgent = await self._look_at([one for one in self._waiters if one.last_call])
         timely = await self._look_at([one for one in self._waiters if not one.late])
         late = await self._look_at(sorted((one for one in self._waiters if one.late), key=_large_last))
         self._lines.note(self._waiters)
-        return last or timely or late
+        return urgent or timely or late
 
     def _hopeless(self, waiter: Waiter) -> bool:
-        """Tell whether a request that was let in had better come back later.
+        """Tell whether to refuse a queued request so that its caller retries later.
 
-        Those that can be on time go first. With late ones held behind them,
-        half of the held were given up after 0.8 s, and their callers came
-        back to the same burst; now they do so when it may be over. Held past
-        its target a request has lost that chance, and its place would be worth
-        nothing to its caller: it stays for as long as it can be answered.
+        Requests that can be on time go first. When late ones stayed queued behind
+        them, half of those were abandoned after 0.8 s, and their callers retried
+        into the same burst. Refused at once, callers retry when the burst may be
+        over. A retry, or a request already past its target, gains nothing from a
+        refusal: it stays for as long as it can be answered.
         """
         if not waiter.late or not waiter.refusable:
             return False
@@ -164,23 +173,23 @@
         return not waiter.small and self._lines.rivals(waiter.line) > 0
 
     async def _look_at(self, waiters: Iterable[Waiter]) -> bool:
-        vain: Counter[str] = Counter()
-        let_go = False
+        failed: Counter[str] = Counter()
+        released = False
         for waiter in waiters:
             route = waiter.job.route.name
-            if vain[route] >= VAIN_LOOKS or waiter not in self._waiters:
+            if failed[route] >= VAIN_LOOKS or waiter not in self._waiters:
                 continue
             if self._try(waiter):
-                let_go = True
-                # Its work counts once it is sent: let that happen, lest the
-                # next one finds the engine as free as this one did.
+                released = True
+                # Work counts towards the load of an engine once it is sent. Without
+                # this checkpoint the next request would find the engine still free.
                 await trio.lowlevel.checkpoint()
             else:
-                vain[route] += 1
-        return let_go
+                failed[route] += 1
+        return released
 
     def _try(self, waiter: Waiter) -> bool:
-        """Let ``waiter`` go if it may."""
+        """Release ``waiter`` with a new plan if its engine is free or no engine can run it; return whether it was."""
         plan = self._chooser.engine(waiter.job, waiter.prompt, waiter.cfg)
         waiter.plan = plan
         if plan is not None:
@@ -188,8 +197,8 @@
             if not self._may_send(plan):
                 return False
             if waiter.last_call:
-                # At its late rank it would wait at the engine as well, behind
-                # all that come after it and still can be on time.
+                # At the rank of late requests it would also wait at the engine, behind
+                # all later requests that can be on time.
                 waiter.plan = plan._replace(rank=urgency(waiter.job))
         self._release(waiter)
         return True
@@ -199,18 +208,18 @@
         self._waiters.pop(waiter, None)
 
     def _may_send(self, plan: EnginePlan) -> bool:
-        """Tell whether the engine is free, and was so for a while drawn by lot."""
-        reader = plan.view.runner
+        """Tell whether the first engine is free, and for long work has been for a random delay."""
+        runner = plan.view.runner
         if must_wait(plan):
-            self._send_at.pop(reader, None)
+            self._send_at.pop(runner, None)
             return False
         if plan.path.work_s < LONG_WORK_S:
             return True
         now = trio.current_time()
-        send_at = self._send_at.setdefault(reader, now + self._rng.uniform(0, BACK_OFF_S))
+        send_at = self._send_at.setdefault(runner, now + self._rng.uniform(0, BACK_OFF_S))
         if now < send_at:
             return False
-        self._send_at.pop(reader)
+        self._send_at.pop(runner)
         return True
 
 
