--- a/packages/sesamepoint/src/sesamepoint/front/backlog.py
+++ b/packages/sesamepoint/src/sesamepoint/front/backlog.py
@@ -30,10 +30,6 @@
 class Held(NamedTuple):
     """Work that one instance has in one queue, of routes with one target.
 
-    After the queue and the target come the number of requests that can still
-    be on time, the engine seconds that those take, and the engine seconds that
-    the late requests take.
-
     Parameters
     ----------
     target_s
@@ -42,8 +38,10 @@
 
     line: Line
     target_s: float
+    # Requests that can still be on time, and the engine seconds that they take.
     requests: int
     work_s: float
+    # Engine seconds that the late requests take.
     late_s: float = 0
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
@@ -24,9 +24,7 @@
     """A placement and its engines.
 
     The first engine is the prefill engine, or the decode engine if the request
-    runs whole. Besides its fields, a plan has the engine from which the first
-    engine can fetch prefix blocks that it lacks, and a flag that the decode
-    engine has no free slot or memory.
+    runs whole.
 
     Parameters
     ----------
@@ -43,9 +41,11 @@
     path: Path
     prefill: Member | None
     decode: Member
+    # Engine from which the first engine can fetch prefix blocks that it lacks.
     holder: Member | None
     view: EngineView
     rank: int
+    # Whether the decode engine has no free slot or memory.
     crowded: bool
     speeds: Speeds
     admitted: bool = True
@@ -59,8 +59,6 @@
 class Seen(NamedTuple):
     """A runner and the waits that its rate limit imposes on one request.
 
-    The second wait is the time from one permit to the next, in seconds.
-
     Parameters
     ----------
     permit_wait_s
@@ -69,6 +67,7 @@
 
     member: Member
     permit_wait_s: float
+    # Seconds from one permit of the rate limit to the next.
     place_s: float
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/places.py
+++ b/packages/sesamepoint/src/sesamepoint/front/places.py
@@ -47,26 +47,23 @@
 
 
 class _Waiter:
-    """One waiting request.
-
-    It has a longest wait, in seconds, after which its turn is overdue, and a
-    time until which it may stay in the queue.
-    """
+    """One waiting request."""
 
     def __init__(self, job: Job, starts: frozenset[Start], turn: int) -> None:
         self.job = job
         self.starts = starts
+        # Time until which it may stay in the queue.
         self.until = _patient_until(job)
         self._asks_first = sorted(starts)[turn % len(starts)] if starts else None
         self._began = trio.current_time()
-        # Counted from its arrival. It is compared with forecasts from now on, which makes the
-        # check more lenient the longer it has waited: its turn is then the sooner.
+        # Longest wait before its turn, in seconds, as of its arrival. Forecasts of its wait are
+        # compared with it later too, since a request that has waited longer gets its turn sooner.
         self.due_s = _due_by(job) - self._began
         self.decided = trio.Event()
         self.refused = False
 
     def asks(self, start: Start) -> bool:
-        """Tell whether it counts as demand for a permit of ``start``; it takes one of any runner that may serve it."""
+        """Tell whether it counts as demand for a permit of one runner; it takes one of any runner that may serve it."""
         if trio.current_time() - self._began > ASKS_ONE_S:
             return start in self.starts
         return start == self._asks_first
@@ -93,7 +90,7 @@
     rate: float
 
     def wait_s(self, ahead: int) -> float:
-        """Return the wait with ``ahead`` requests before it; the first one is sent as soon as a back-off ends."""
+        """Return the wait behind so many other requests; the first one is sent as soon as a back-off ends."""
         if not self.rate:
             return math.inf
         return self.opens_s + ahead / self.rate if self.opens_s else (ahead + 1) / self.rate
@@ -153,7 +150,7 @@
         return Wish(max(same_priority - stock, recent - stock, 0), first)
 
     def hand_out(self, start: Start) -> None:
-        """Release requests that wait for the runner of ``start``, a permit each, until permits run out."""
+        """Release requests that wait for a runner, with a permit each, until permits run out."""
         for waiter in sorted(self._waiting_for(start), key=_order):
             if not self._limits.reserve(start, waiter.job):
                 return
@@ -165,10 +162,10 @@
         capacity: dict[Start, float] = {}
         for waiter in sorted(self._waiters, key=_order):
             for member in self._usable.open_to(waiter.job):
-                start = member.start
-                left = capacity.get(start, self._room(member))
+                incarnation = member.start
+                left = capacity.get(incarnation, self._room(member))
                 if left > 0:
-                    capacity[start] = left - 1
+                    capacity[incarnation] = left - 1
                     self._release(waiter)
                     break
 
@@ -198,10 +195,10 @@
 
     def _refuse_hopeless(self) -> None:
         """Refuse at once the requests whose turn would come too late, behind all that go before them."""
-        ahead = 0
+        earlier = 0
         for waiter in sorted(self._waiters, key=_order):
-            if self._outlook(waiter).wait_s(ahead) <= waiter.due_s:
-                ahead += 1
+            if self._outlook(waiter).wait_s(earlier) <= waiter.due_s:
+                earlier += 1
             else:
                 self._refuse(waiter)
 
@@ -210,13 +207,13 @@
         waiter.refused = True
         job.notes.refused = True
         forecast = self._outlook(waiter)
-        backing_off = any(math.isfinite(self._room_of(start)) for start in waiter.starts)
+        backing_off = any(math.isfinite(self._room_of(incarnation)) for incarnation in waiter.starts)
         job.notes.held_back = Cause.resting if backing_off else Cause.limited
         job.retry_after_s = self._return_s(job, forecast)
         events.log_event(
             events.REST_REFUSED if backing_off else events.LIMIT_REFUSED,
             request=job.req.request_id,
-            runners=sorted(start.runner for start in waiter.starts),
+            runners=sorted(incarnation.runner for incarnation in waiter.starts),
             waiting=len(self._waiters),
             opens_ms=whole_ms(forecast.opens_s),
             rate=_shown(forecast.rate),
@@ -243,11 +240,11 @@
         self._limits.fresh.set()
 
     def _outlook(self, waiter: _Waiter) -> _Outlook:
-        back_offs = {start: self._words.belief_of(start).rest_left_s(trio.current_time()) for start in waiter.starts}
+        back_offs = {one: self._words.belief_of(one).rest_left_s(trio.current_time()) for one in waiter.starts}
         opens_s = min(back_offs.values(), default=0)
         # Runners whose back-off outlasts this can't serve the request in time.
         in_time_s = max(opens_s, waiter.due_s)
-        rates = (self._rate(start, waiter.job) for start, left_s in back_offs.items() if left_s <= in_time_s)
+        rates = (self._rate(one, waiter.job) for one, left_s in back_offs.items() if left_s <= in_time_s)
         return _Outlook(opens_s, sum(rates))
 
     def _rate(self, start: Start, job: Job) -> float:
--- a/packages/sesamepoint/src/sesamepoint/front/prefill.py
+++ b/packages/sesamepoint/src/sesamepoint/front/prefill.py
@@ -47,17 +47,16 @@
 class PrefillFailed(NamedTuple):
     """Cause of a failed remote prefill.
 
-    The first flag is set if no answer came before the timeout.
-
     Parameters
     ----------
     replaced
         Whether another incarnation now has the runner's address.
     ended
-        Whether the runner refuses connections, so that it has ended.
+        Whether the runner refuses connections, which shows that it has ended.
     """
 
     cause: str
+    # Whether no answer came before the timeout.
     silent: bool = False
     replaced: bool = False
     ended: bool = False
--- a/packages/sesamepoint/src/sesamepoint/front/usable.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usable.py
@@ -52,7 +52,7 @@
         return admitted
 
     def wait_s(self, member: Member, job: Job) -> float:
-        """Return the seconds until ``member`` has a permit for ``job``; infinite if its back-off allows no more requests."""
+        """Return the seconds until ``member`` has a permit for ``job``; infinite if its back-off forbids more."""
         return self._limits.permit_wait_s(member, job) if member.has_room else math.inf
 
     def sound(self, job: Job) -> list[Member]:
