--- a/packages/sesamepoint/src/sesamepoint/front/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/front/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request served by one runner."""
+"""One attempt to have a request served by one runner: the exchange and its relay to the caller."""
 
 from __future__ import annotations
 
@@ -25,15 +25,21 @@
     from sesamepoint.http1.messages import ResponseHead
     from sesamepoint.platform.headers import Sending
 
-# A larger body of an answer that comes whole is passed on in parts.
+# Bodies of unstreamed answers beyond this size are relayed in parts.
 BUFFERED_BYTES = 262144
 
 
 class Target(NamedTuple):
-    """Where an attempt goes, and how long it may stay without a sign.
-
-    ``on_sign`` is called at the first sign of an answer, ``on_pause`` with
-    the seconds between two events.
+    """The runner of an attempt, how long it may stay silent, and callbacks.
+
+    Parameters
+    ----------
+    patience_s
+        Seconds until the first output, after which the attempt ends.
+    on_sign
+        Called at the first output of the runner.
+    on_pause
+        Called with the seconds between two events.
     """
 
     member: Member
@@ -45,10 +51,10 @@
 
 
 class Attempt:
-    """Sends the request, and passes the answer on if it is a good one."""
+    """Sends the request to a runner and relays a successful answer to the caller."""
 
     def __init__(self, req: FrontRequest, target: Target, reply: Reply, *, streamed: bool) -> None:
-        """Prepare; nothing is sent before :meth:`run`."""
+        """Prepare an attempt; nothing is sent before :meth:`run`."""
         self.first_at: float | None = None
         self._req = req
         self._target = target
@@ -59,10 +65,10 @@
         self._last_event_at: float | None = None
 
     async def run(self) -> AttemptResult:
-        """Run to the end; a connection that ends the wait is closed.
+        """Run the attempt; its connection is closed if the answer did not end on it.
 
-        Closing makes the runner drop the work, so that nothing runs for
-        callers that have gone and no second run overlaps with the first.
+        Closing it makes the runner cancel the work, so that nothing runs for
+        callers that have disconnected, and no retry overlaps with this attempt.
         """
         member = self._target.member
         started = trio.current_time()
@@ -93,15 +99,15 @@
             member.give_back(conn)
 
     async def _converse(self, conn: ClientConn) -> AttemptResult:
-        # Nothing is sent on for a caller that has gone.
+        # Nothing is sent for a caller that has disconnected.
         self._reply.check_caller()
-        wire = conn.begin(encode_request(self._req, self._target.sending), self._req.body)
+        request_bytes = conn.begin(encode_request(self._req, self._target.sending), self._req.body)
         async with trio.open_nursery() as nursery:
-            # A runner may answer before it has read a long body.
-            nursery.start_soon(conn.send_quietly, wire)
-            became = await self._read(conn)
+            # A runner may answer before it has received all of a long body.
+            nursery.start_soon(conn.send_quietly, request_bytes)
+            outcome = await self._read(conn)
             nursery.cancel_scope.cancel()
-        return became
+        return outcome
 
     async def _read(self, conn: ClientConn) -> AttemptResult:
         head = await conn.head(partial(answers, self._req))
@@ -111,36 +117,36 @@
         if not successful(head.status):
             return RunFailed(head, await conn.rest())
         if not signed(head):
-            return Broken('an answer that no runner signed')
+            return Broken('the answer has no signature of a runner')
         if self._streamed:
             return await self._relay_events(conn, head)
         await self._note_sign()
         return await self._relay_whole(conn, head)
 
     async def _relay_whole(self, conn: ClientConn, head: ResponseHead) -> AttemptResult:
-        held = b''
+        buffered = b''
         while chunk := await conn.chunk():
-            held += chunk
-            if len(held) > BUFFERED_BYTES:
+            buffered += chunk
+            if len(buffered) > BUFFERED_BYTES:
                 await self._begin(head)
-                await self._reply.part(held)
-                held = b''
+                await self._reply.part(buffered)
+                buffered = b''
         if self._reply.begun:
-            await self._finish(held)
+            await self._finish(buffered)
         else:
-            await self._reply.whole(head.status, returned(head), held)
+            await self._reply.whole(head.status, returned(head), buffered)
         return Relayed(head.status)
 
     async def _relay_events(self, conn: ClientConn, head: ResponseHead) -> AttemptResult:
         splitter = self._reply.events
         splitter.restart()
         while chunk := await conn.chunk():
-            whole = splitter.feed(chunk)
-            if whole:
+            whole_events = splitter.feed(chunk)
+            if whole_events:
                 await self._note_sign()
                 self._note_pause()
                 await self._begin(head)
-                await self._reply.part(whole)
+                await self._reply.part(whole_events)
         await self._begin(head)
         await self._finish(splitter.rest)
         return Relayed(head.status)
@@ -162,11 +168,11 @@
         self._last_event_at = now
 
     async def _note_sign(self) -> None:
-        """End the wait for a sign, unless it has already run out.
+        """Record the first output and disarm the silence timeout, unless that has already expired.
 
-        If the sign and the end of patience fall together, the cancellation
-        would strike in the middle of writing to the caller, and the next
-        attempt's answer would begin where half a head was meant to be.
+        Without the checkpoint, a timeout that expires together with the first
+        output would cancel the write to the caller midway, and the answer of the
+        next attempt would follow half a response head.
         """
         if self.first_at is None:
             await trio.lowlevel.checkpoint_if_cancelled()
--- a/packages/sesamepoint/src/sesamepoint/front/cause.py
+++ b/packages/sesamepoint/src/sesamepoint/front/cause.py
@@ -1,4 +1,4 @@
-"""Why a request ended without a whole answer, as its last log line tells it."""
+"""Causes for requests that end without a complete answer, as logged."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Cause(StrEnum):
-    """One word a cause; ``sesamectl loss`` groups by them."""
+    """Why a request ended without a complete answer; ``sesamectl loss`` groups by the values."""
 
     none = ''
     refused = 'refused'
--- a/packages/sesamepoint/src/sesamepoint/front/clocks.py
+++ b/packages/sesamepoint/src/sesamepoint/front/clocks.py
@@ -1,58 +1,58 @@
-"""Clocks that duties go by: one that never stands still, and true time."""
+"""Clocks for the usage reports: a steady clock, and the time of day without its jumps."""
 
 from __future__ import annotations
 
 import time
 from typing import Protocol
 
-# A change of the time of day against the steady clock of more than this, in
-# seconds, is a jump and no adjustment.
+# A shift of the time of day against the steady clock beyond this many seconds is a
+# jump; a smaller one is an adjustment.
 JUMP_S = 0.2
-# A jump that has lasted for so long, in seconds, is the time of day.
+# A jump that has lasted for more than this many seconds is taken over.
 BELIEVED_S = 60.0
 
 
 class Clock(Protocol):
-    """What an instance has of clocks, in seconds."""
+    """Clocks of an instance, in seconds."""
 
     def steady(self) -> float:
-        """Return a time that goes on while the machine sleeps, from any beginning."""
+        """Return a monotonic time that includes suspended time, from an arbitrary origin."""
 
     def time_of_day(self) -> float:
-        """Return the seconds since 1970, as the machine has them."""
+        """Return the machine's time of day, in seconds since 1970."""
 
 
 class SystemClock:
-    """The clocks of this machine."""
+    """Clocks of this machine."""
 
     def steady(self) -> float:
-        """Return the time since it was started, sleep included."""
+        """Return the seconds since boot, suspended time included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def time_of_day(self) -> float:
-        """Return the seconds since 1970."""
+        """Return the system time, in seconds since 1970."""
         return time.time()
 
 
 class TrueTime:
-    """The time of day without its jumps.
+    """Time of day without short jumps.
 
-    It may jump by seconds and back again; taken as it is, a jump moved a good
-    part of a window's counts into its neighbours.
+    The time of day may jump by seconds and back. Taken as it is, a jump moved many
+    counts of a window into the windows next to it.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Take the time of day for true at the start."""
+        """Start from the current time of day."""
         self._clock = clock
         self._offset_s = clock.time_of_day() - clock.steady()
         self._jumped_at: float | None = None
 
     def at(self, steady_s: float) -> float:
-        """Return the seconds since 1970 at a moment of the steady clock."""
+        """Convert a time of the steady clock to seconds since 1970."""
         return steady_s + self._offset_s
 
     def now(self) -> float:
-        """Return the seconds since 1970; to be asked now and then, so that it follows."""
+        """Return the seconds since 1970; needs regular calls to follow changes of the time of day."""
         now = self._clock.steady()
         offset_s = self._clock.time_of_day() - now
         if abs(offset_s - self._offset_s) <= JUMP_S:
--- a/packages/sesamepoint/src/sesamepoint/front/conclusion.py
+++ b/packages/sesamepoint/src/sesamepoint/front/conclusion.py
@@ -1,4 +1,4 @@
-"""Why a request ends as it does, and the line that tells it."""
+"""End of a request: the cause of a failure, and the final log line."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def cause_of(job: Job, found: AttemptResult | None) -> Cause:
-    """Return why ``job`` ends without a whole answer, if it does."""
+    """Return why ``job`` ends without a complete answer; none if it was served."""
     if isinstance(found, Relayed):
         return Cause.none
     if job.reply.begun:
@@ -32,7 +32,7 @@
 
 
 def log_end(job: Job, cfg: Configuration, took_s: float) -> None:
-    """Write the one line that tells what became of a request, and why."""
+    """Write the final log line of a request."""
     notes = job.notes
     events.log_event(
         events.ANSWER_ENDED,
--- a/packages/sesamepoint/src/sesamepoint/front/content.py
+++ b/packages/sesamepoint/src/sesamepoint/front/content.py
@@ -1,4 +1,4 @@
-"""What a request asks, without what is new with each attempt of its caller."""
+"""Content ids, which are the same for all attempts of a caller at one request."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 if TYPE_CHECKING:
     from sesamepoint.front.request import FrontRequest
 
-# Bytes of a content id. Of a million requests that are remembered, no two are
-# taken for each other but once in some ten million such sets.
+# Bytes of a content id: two of a million remembered requests share an id in about
+# one of ten million such sets.
 ID_BYTES = 8
 
 
 def content_id(req: FrontRequest) -> str:
-    """Return the same text for each attempt with one request, at any instance.
+    """Return the content id of a request, which is the same at any instance.
 
-    Request ids are new with each attempt, and callers come through addresses
-    that change; method, host, target and body stay, and so do the parts of a prompt.
+    Request ids and the addresses of callers change with each attempt. Method,
+    host, target, body and prompt stay the same.
     """
     digest = blake2b(digest_size=ID_BYTES)
     for text in (req.head.method, req.host.encode(), req.head.target, req.body):
--- a/packages/sesamepoint/src/sesamepoint/front/dispatch.py
+++ b/packages/sesamepoint/src/sesamepoint/front/dispatch.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its answer: route, attempts, conclusion."""
+"""Dispatcher of requests: finds the route, runs the attempts and finishes the reply."""
 
 from __future__ import annotations
 
@@ -37,23 +37,23 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-# Share of the retry budget that is used: arrivals are counted elsewhere, over
-# windows that begin and end at any moment.
+# Share of the retry budget that is used. The rest is a margin, because those who
+# check the budget count arrivals over windows with other bounds.
 BUDGET_SHARE = 0.8
 
 
 class Budgets:
-    """One retry budget a service, a share of what all entries may spend."""
+    """Retry budgets, one for each service; each is a share of the budget of all instances."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
-        """Allow ``ratio`` of the requests of each window; nothing more before it is known what there is to share."""
+        """Allow ``ratio`` of the requests of each window; the reserve is 0 until the number of instances is known."""
         self._ratio = BUDGET_SHARE * ratio
         self._reserve: float = 0
         self._window_s = window_s
         self._of_service: dict[str, WindowBudget] = {}
 
     def earn(self, service: str) -> WindowBudget:
-        """Count a request and return the budget of its service."""
+        """Count a request for its service and return the budget of the service."""
         budget = self._of_service.get(service)
         if budget is None:
             budget = WindowBudget(self._ratio, self._reserve, self._window_s, trio.current_time)
@@ -62,14 +62,14 @@
         return budget
 
     def share(self, entries: int, reserve: float) -> None:
-        """Split ``reserve`` between ``entries``."""
+        """Split ``reserve`` evenly between all instances."""
         self._reserve = BUDGET_SHARE * reserve / max(entries, 1)
         for budget in self._of_service.values():
             budget.resize(self._reserve)
 
 
 class Dispatcher:
-    """Serves requests by the configuration in force."""
+    """Serves requests according to the configuration in force."""
 
     def __init__(
         self, tools: EngineTools, engine_runs: EngineRuns, quarantine: Quarantine, budgets: Budgets, rng: Random
@@ -87,11 +87,11 @@
         self._rng = rng
         self._usual = UsualDeadlines()
         self._under_way: set[Job] = set()
-        # Called when a runner has begun to run a request.
+        # Called when the first runner has begun to run a request.
         self.on_run: OnRun | None = None
 
     def configure(self, cfg: Configuration) -> None:
-        """Serve by ``cfg`` from now on."""
+        """Apply ``cfg`` to new requests, and check the accounts of those in progress again."""
         self.configuration = cfg
         self._usual.forget_but(frozenset(route.name for routes in cfg.routes.values() for route in routes))
         self._configured.set()
@@ -99,7 +99,7 @@
             admit_again(job, cfg)
 
     async def serve(self, req: FrontRequest, reply: Reply) -> None:
-        """Answer ``req``; an answer that stays unfinished must be cut off."""
+        """Answer ``req``; if the reply is left unfinished, the connection must be closed."""
         with trio.move_on_after(hold_s(req.deadline_s, MIN_STREAM_PATIENCE_S)):
             await self._configured.wait()
         cfg = self.configuration
@@ -114,8 +114,8 @@
             self.metrics.count_denied(admission.fault)
             log_denied(req, route, admission.fault)
             return await reply.deny(admission.fault)
-        came_back = self._usual.returned(route.name, req.deadline_s, req.arrived)
-        job = Job(req, route, self._pick_service(route), reply, returned=came_back)
+        caller_retry = self._usual.returned(route.name, req.deadline_s, req.arrived)
+        job = Job(req, route, self._pick_service(route), reply, returned=caller_retry)
         attribute(job, cfg, admission)
         job.standing.on_run = self.on_run
         self._under_way.add(job)
@@ -123,7 +123,7 @@
             if not await self._serve_in_time(job, cfg):
                 await self._give_up(job)
         finally:
-            # Also if the caller has left and this task is cancelled.
+            # Also runs if the caller has disconnected and this task is cancelled.
             self._note_end(job, cfg)
 
     def _note_end(self, job: Job, cfg: Configuration) -> None:
@@ -154,7 +154,7 @@
             await job.reply.refuse(UNAVAILABLE, 'no runner took it in time; it has not run', SOON_S)
 
     async def _serve(self, job: Job, cfg: Configuration) -> AttemptResult | None:
-        """Try runners until one serves the request or no other may."""
+        """Attempt the request until it is served or no further attempt is allowed."""
         if self._quarantine.refuses(job):
             return None
         with trio.move_on_after(hold_s(job.caller_left_s, job.first_left_s)):
@@ -164,28 +164,28 @@
                 return None
         budget = self._budgets.earn(job.service)
         self._places.note_request(job.service)
-        newest = await self._try(job, cfg, budget)
-        while newest is not None and may_go_on(job, newest):
-            if job.sends and not isinstance(newest, Withheld) and not budget.spend():
-                return newest
-            following = await self._try(job, cfg, budget)
-            if following is None:
-                return newest
-            newest = following
-        return newest
+        outcome = await self._try(job, cfg, budget)
+        while outcome is not None and may_go_on(job, outcome):
+            if job.sends and not isinstance(outcome, Withheld) and not budget.spend():
+                return outcome
+            next_outcome = await self._try(job, cfg, budget)
+            if next_outcome is None:
+                return outcome
+            outcome = next_outcome
+        return outcome
 
     async def _try(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
         if not await self._quarantine.admit(job, self._chooser.for_trial):
             return None
-        found: AttemptResult | None = None
+        outcome: AttemptResult | None = None
         try:
-            found = await self._send(job, cfg, budget)
+            outcome = await self._send(job, cfg, budget)
         finally:
-            self._quarantine.learn(job, found)
+            self._quarantine.learn(job, outcome)
             self._limits.give_back(job)
-        if found is not None and not isinstance(found, Relayed):
-            self.metrics.note_broken(job.service, found.tag)
-        return found
+        if outcome is not None and not isinstance(outcome, Relayed):
+            self.metrics.note_broken(job.service, outcome.tag)
+        return outcome
 
     async def _send(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
         if job.standing.denied:
@@ -200,7 +200,7 @@
         return await attempt(job, target_for(job, member, job.route.target_s / PATIENCE_FACTOR))
 
     async def _plain(self, job: Job) -> Member | None:
-        """Return a runner of a plain service that may be sent the request now; None if there is none in time."""
+        """Wait for a runner of a plain service that may get the request now; None if there is none in time."""
         while True:
             member = self._chooser.plain(job)
             if member is not None and self._limits.set_aside(member, job):
--- a/packages/sesamepoint/src/sesamepoint/front/door.py
+++ b/packages/sesamepoint/src/sesamepoint/front/door.py
@@ -1,4 +1,4 @@
-"""Callers' connections: one task each, requests one after the other."""
+"""HTTP handler for the connections of callers: one task each, requests in sequence."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
     from sesamepoint.http1.transport import Transport
 
 UNAVAILABLE = 503
-# Other instances serve whoever comes back to them, in seconds.
+# Retry-After of a stopping instance, in seconds: other instances can serve the retry at once.
 AT_ONCE_S = 0.02
 
 
 class Door:
-    """Serves callers' connections and knows how to stop gracefully."""
+    """Serves the connections of callers and supports a graceful stop."""
 
     def __init__(self, dispatcher: Dispatcher, limits: Callable[[], ServerLimits]) -> None:
-        """Pass requests to ``dispatcher``; ``limits`` are asked a connection."""
+        """Pass requests to ``dispatcher``; ``limits`` is called for each new connection."""
         self.stopping = False
         self.active = 0
-        # From the moment this is set, on trio's clock, requests are taken
-        # only if they are sure to have ended by then.
+        # Time on trio's clock; once it is set, a request is accepted only if its
+        # deadline is no later than that.
         self.end_by = math.inf
         self._dispatcher = dispatcher
         self._limits = limits
@@ -47,13 +47,13 @@
         except CallerGoneError:
             return
         except Exception as exc:
-            # One connection's failure must not end the others.
+            # A failure on one connection must not affect the others.
             events.log_event(events.CONNECTION_BROKE, cause=repr(exc))
         finally:
             transport.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections that have no request in progress."""
         for scope in tuple(self._idle):
             scope.cancel()
 
@@ -98,18 +98,18 @@
             nursery.cancel_scope.cancel()
 
     def _outlasts(self, req: FrontRequest) -> bool:
-        """Tell whether ``req`` might be cut off by the end of this process.
+        """Return whether ``req`` might be cut off by the end of this process.
 
-        Callers that kept their connection while an answer ran send the next
-        request on it, 5 s after the signal to stop and later. Taken, its
-        answer was cut off when the platform ended the process by force.
+        Callers reuse a connection after a long answer, and so send requests 5 s
+        or more after the signal to stop. The answers of such requests were cut
+        off when the platform killed the process.
         """
         if self.end_by == math.inf:
             return False
         return req.deadline_s is None or req.arrived + req.deadline_s > self.end_by
 
     async def _cancel_when_gone(self, conn: ServerConn, req: FrontRequest, scope: trio.CancelScope) -> None:
-        """End the work for a caller that has gone, so that no runner works in vain."""
+        """Cancel the request once its caller has disconnected, so that no runner works in vain."""
         await conn.watch()
         events.log_event(events.CALLER_LEFT, request=req.request_id)
         scope.cancel()
--- a/packages/sesamepoint/src/sesamepoint/front/events_split.py
+++ b/packages/sesamepoint/src/sesamepoint/front/events_split.py
@@ -1,4 +1,4 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitter of byte streams into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -7,37 +7,36 @@
 
 
 class EventSplitter:
-    """Collects bytes and hands out whole events.
+    """Buffers bytes and returns complete events.
 
-    A runner may stop in the middle of an event. Only whole events go to the
-    caller, so that a stream that goes on at another runner never joins the
-    halves of two.
+    A runner may fail in the middle of an event. Callers get only complete events,
+    so that a stream resumed at another runner never joins parts of two events.
     """
 
     def __init__(self) -> None:
-        """Start with nothing held."""
+        """Start with an empty buffer."""
         self.last_id = ''
         self._held = b''
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that is not whole."""
+        """Return the bytes of the incomplete event."""
         return self._held
 
     def feed(self, received: bytes) -> bytes:
-        """Return the whole events up to the end of ``received``."""
+        """Return the events that are complete with ``received``."""
         self._held += received
         end = self._held.rfind(_EVENT_END)
         if end < 0:
             return b''
         end += len(_EVENT_END)
-        whole = self._held[:end]
+        complete = self._held[:end]
         self._held = self._held[end:]
-        self._note_id(whole)
-        return whole
+        self._note_id(complete)
+        return complete
 
     def restart(self) -> None:
-        """Drop the unfinished event; another runner goes on."""
+        """Drop the incomplete event, as before another runner resumes the stream."""
         self._held = b''
 
     def _note_id(self, whole: bytes) -> None:
--- a/packages/sesamepoint/src/sesamepoint/front/front.py
+++ b/packages/sesamepoint/src/sesamepoint/front/front.py
@@ -1,4 +1,4 @@
-"""All of a front process but its listeners."""
+"""The front of one process: all its parts except the listeners."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
     from sesamepoint.front.settings import FrontSettings
     from sesamepoint.http1.transport import Network
 
-# After a signal to stop, callers still come for as long as the platform
-# takes to notice: two checks of readiness a second apart, and one to spare.
-# Then idle connections are closed.
+# Seconds after the signal to stop until idle connections are closed. Callers still
+# come until the platform notices, after two readiness checks a second apart; there
+# is time for one more check.
 NOTICE_S = 3.2
-# Until then requests are taken whatever time they may need: the platform has
-# other instances to send callers to only once it has noticed, and allows for
-# requests that were sent within three seconds of the signal.
+# Seconds after the signal in which requests with any deadline are accepted: the
+# platform sends callers to other instances only once it has noticed, and makes
+# allowance for requests sent within three seconds of the signal.
 TAKING_S = 2.8
-# Kept free at the end of the time to stop.
+# Seconds kept free at the end of the time to stop.
 LAST_S = 0.3
+# Interval of the check for requests in progress while stopping, in seconds.
 POLL_S = 0.05
 
 
 class Front:
-    """Takes callers' connections and serves their requests."""
+    """Accepts the connections of callers and serves their requests."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         rng: Random,
         clock: Clock | None = None,
     ) -> None:
-        """Put the parts together without starting them; the clock is the machine's own if none is given."""
+        """Create the parts without starting them; without a clock the system clock is used."""
         self.cfg = cfg
         self._runner_limits = RunnerLimits(cfg.name, rng)
         quarantine = Quarantine(cfg.name)
@@ -78,7 +79,7 @@
         self._watch(quarantine)
 
     def children(self) -> list[Child]:
-        """Return the parts that run beside the listeners."""
+        """Return the background tasks besides the listeners."""
         return [
             *self._following.children(),
             Child('keep-alive', self.peers.keep_alive),
@@ -92,25 +93,25 @@
         ]
 
     def reconfigure(self, cfg: FrontSettings) -> None:
-        """Work by ``cfg`` from now on; addresses stay as they are."""
+        """Apply ``cfg``; changed addresses need a restart."""
         self.cfg = cfg
         self.fleet.allow(cfg.drain_s)
         self._following.reconfigure(cfg)
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may be sent to this instance."""
         return not self.door.stopping and self.fleet.listed and self.dispatcher.configuration is not None
 
     async def wind_down(self) -> None:
-        """Turn unready, let the platform notice, finish what is under way."""
+        """Become unready, let the platform notice, and finish the requests in progress."""
         self.door.stopping = True
         end_at = trio.current_time() + self.cfg.stop_s - LAST_S
         with trio.move_on_at(end_at):
             await trio.sleep(TAKING_S)
             self.door.end_by = end_at
             await trio.sleep(NOTICE_S - TAKING_S)
-            # From here on callers are refused a connection, which tells them
-            # that nothing ran; one more that is let in could be cut off.
+            # New connections are refused from here on, so that callers know that
+            # nothing ran. A request accepted now could be cut off.
             self.listening.cancel()
             self.door.close_idle()
             await self._following.withdraw()
--- a/packages/sesamepoint/src/sesamepoint/front/gate.py
+++ b/packages/sesamepoint/src/sesamepoint/front/gate.py
@@ -1,4 +1,4 @@
-"""The last question before anything goes to a runner: may this instance send it there now?"""
+"""Send check: whether this instance may send something to a runner now, checked just before the send."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class SendKind(StrEnum):
-    """All kinds of messages that runners get."""
+    """Kinds of messages to runners."""
 
-    # First sends, retries, resumed runs and trials.
+    # First attempts, retries, resumed runs and probes.
     run = 'run'
     read_apart = 'read_apart'
     second_step = 'second_step'
@@ -31,19 +31,19 @@
 
 
 class Purpose(NamedTuple):
-    """What is to be sent, and for which request of a caller, if for one."""
+    """Kind of a message, and the request of a caller that it serves, if any."""
 
     kind: SendKind
     job: Job | None = None
 
 
 class Passage(NamedTuple):
-    """Something that is about to be sent.
+    """A message that is about to be sent to a runner.
 
     Parameters
     ----------
     beside
-        Requests of this instance that are under way at the runner besides it.
+        Other requests of this instance in progress at the runner.
     """
 
     member: Member
@@ -52,45 +52,45 @@
 
 
 class GateClosedError(SesamepointError):
-    """Nothing was sent: the runner may not have it now."""
+    """Nothing was sent, because the send check failed."""
 
     def __init__(self, runner: str, condition: str) -> None:
-        """Name the runner and the condition that closes the gate to it."""
+        """Name the runner and the condition that blocked the send."""
         self.condition = condition
-        super().__init__(f'nothing may be sent to {runner} now ({condition})', 'another runner is chosen')
+        super().__init__(f'send to {runner} blocked ({condition})', 'choose another runner')
 
 
 Condition = Callable[['Gate', Passage], bool]
 
-CONDITIONS: Registry[Condition] = Registry('condition that closes the gate')
+CONDITIONS: Registry[Condition] = Registry('condition that blocks sends')
 
 
 class Gate:
-    """Asked last by all that is sent to runners, when its connection is there and no byte has gone.
+    """Checks each message to a runner once its connection is open, before the first byte is sent.
 
-    Beliefs change while a request waits for its turn, for its prompt to be read or for
-    a connection, so that a choice made a moment ago may not hold any more.
+    Runner status changes while a request waits in a queue, for its prefill or for
+    a connection, so a runner that was chosen earlier may no longer be eligible.
     """
 
     def __init__(self, words: RunnerWords, suspects: Suspects) -> None:
-        """Decide by what is believed in ``words``, and of requests that may end runners in ``suspects``."""
+        """Check against the given runner status, and against the suspected poison requests in ``suspects``."""
         self.words = words
         self.suspects = suspects
         self._conditions = tuple((name, CONDITIONS.get(name)) for name in CONDITIONS)
 
     @classmethod
     def from_limits(cls, limits: RunnerLimits, suspects: Suspects) -> Gate:
-        """Build the gate of an instance that believes nothing yet, and keeps limits by ``limits``."""
+        """Build the check of an instance without runner status so far, which keeps rate limits by ``limits``."""
         return cls(RunnerWords(limits), suspects)
 
     def closed_by(self, passage: Passage) -> str:
-        """Return the name of a condition that keeps ``passage`` from being sent; empty if there is none."""
-        return next((name for name, closes in self._conditions if closes(self, passage)), '')
+        """Return the name of a condition that blocks the message; empty if there is none."""
+        return next((name for name, blocks in self._conditions if blocks(self, passage)), '')
 
 
 @CONDITIONS.register('gone')
 def _gone(gate: Gate, passage: Passage) -> bool:
-    """Its registration vanished too long ago, or it has started again."""
+    """Return whether the registration has been gone for too long, or the runner has restarted."""
     return passage.member.closed
 
 
@@ -101,7 +101,7 @@
 
 @CONDITIONS.register('resting')
 def _resting(gate: Gate, passage: Passage) -> bool:
-    """It wants nothing from this instance, or no more at a time so soon after."""
+    """Return whether the runner asked for back-off, or has as many requests as it may right after one."""
     return passage.beside >= gate.words.belief_of(passage.member.start).room(trio.current_time())
 
 
@@ -112,18 +112,18 @@
 
 @CONDITIONS.register('limit')
 def _limit(gate: Gate, passage: Passage) -> bool:
-    """It names a limit and there is no permit, or has never answered and may name one."""
+    """Return whether a rate limit leaves no token, or the runner never answered and so may yet report a limit."""
     limits, job = gate.words.limits, passage.purpose.job
     start = passage.member.start
     if job is None:
-        # Besides requests of callers it gets nothing: what it takes is theirs.
+        # All tokens of a rate-limited runner go to requests of callers.
         return limits.limited(start)
     return passage.beside >= limits.room(passage.member) or not limits.has_permit(start, job)
 
 
 @CONDITIONS.register('suspect')
 def _suspect(gate: Gate, passage: Passage) -> bool:
-    """Runners have ended under the request since it was chosen, and it is not sent alone."""
+    """Return whether the request has become suspect since the choice, and is not sent as a probe."""
     job = passage.purpose.job
     if job is None:
         return False
--- a/packages/sesamepoint/src/sesamepoint/front/intake.py
+++ b/packages/sesamepoint/src/sesamepoint/front/intake.py
@@ -1,4 +1,4 @@
-"""Taking records of the store into what this process believes."""
+"""Applying records of the store to the state of this instance."""
 
 from __future__ import annotations
 
@@ -28,33 +28,34 @@
     from sesamepoint.front.settings import FrontSettings
     from sesamepoint.platform.store import KeyedRecord, StoreClient
 
-# One entry waits for a new configuration at all times, for this share of the
-# time in which it must be in force a call. Without word of that, the others
-# wait for the same and up to the next share more: half of the time is left
-# for a call to a store that is slow, or lost its answer.
+# Shares of the time within which a new configuration must be in force. One
+# instance always has a call waiting at the store, held for the wait share. If
+# they receive no update, the others wait as long and up to the spread share
+# more. Half of the time is left for a call to a slow store or a lost answer.
 CONFIGURATION_WAIT_SHARE = 0.25
 CONFIGURATION_REST_S = 0.02
 CONFIGURATION_SPREAD_SHARE = 0.15
-# Runners renew their entries many times a second in sum. One call in this
-# share of the time in which a leaving runner must be noticed brings them all.
-# Where nobody tells, an entry reads after half of that time at the latest.
+# Shares of the time within which a draining runner must be noticed. All runners
+# together renew their records many times a second, so one call after each pause
+# fetches all renewals. An instance that receives no updates polls the store
+# itself after half of that time at the latest.
 RUNNER_WAIT_SHARE = 0.1
 RUNNER_REST_SHARE = 0.2
 RUNNER_SPREAD_SHARE = 0.15
-# Entries come and go rarely. But while they start together, each takes itself
-# for one of few and spends more than its share of the retry budget.
+# Instances rarely join or leave. When they start together, each underestimates
+# their number at first and uses more than its share of the retry budget.
 ENTRY_WAIT_S = 1.0
 ENTRY_REST_S = 0.2
 ENTRY_SPREAD_S = 0.5
-# Entries tell each other of a quarantine at once; the store has it for those that
-# start later, or heard nothing. A call waits for long, nobody waits for it.
+# Instances announce a quarantine to each other at once. The store keeps it for
+# those that start later or missed the announcement, so calls may be held long.
 QUARANTINE_WAIT_S = 10.0
 QUARANTINE_REST_S = 1.0
 QUARANTINE_SPREAD_S = 5.0
 
 
 class Beliefs(NamedTuple):
-    """What the records change."""
+    """The parts of the instance that the records update."""
 
     dispatcher: Dispatcher
     fleet: Fleet
@@ -65,13 +66,13 @@
 
 
 class Intake:
-    """Follows the operator's, the runners' and the entries' records."""
+    """Follows the records of the operator, the runners, the instances and the quarantine."""
 
     def __init__(
         self, cfg: FrontSettings, beliefs: Beliefs, own: OwnRecord, new_client: Callable[[], StoreClient]
     ) -> None:
-        """Keep ``beliefs`` in step with the store that ``new_client`` calls."""
-        # Called with the name of an entry that has read what the store refuses.
+        """Keep the given parts in step with the store that ``new_client`` calls."""
+        # Called with the name of a peer that has read a configuration which this instance could not read.
         self.ask_configuration: Callable[[str], None] = _pass_over
         self._cfg = cfg
         self._beliefs = beliefs
@@ -86,7 +87,7 @@
         return self._beliefs.dispatcher.configuration
 
     def hear(self, news: News) -> None:
-        """Take what another entry has read; of a topic that is not followed yet, nothing."""
+        """Apply an update that a peer has read; updates of topics not followed yet are ignored."""
         watch = self._watches.get(news.topic)
         if watch is not None:
             watch.hear(news)
@@ -94,25 +95,25 @@
             self._beliefs.peers.members.read_by(news.entry)
 
     def look_again(self) -> None:
-        """Read again which requests may not be sent: others may have told that unheard."""
+        """Read the quarantine again soon, since announcements of peers may have been missed."""
         watch = self._watches.get(QUARANTINE_TOPIC)
         if watch is not None:
             watch.look_soon()
 
     def reads_entries(self) -> bool:
-        """Tell whether this entry reads the list of entries for all."""
+        """Return whether this instance polls the list of instances for all."""
         watch = self._watches.get(ENTRY_TOPIC)
         return watch is not None and watch.turns.reads_for_all
 
     def reconfigure(self, cfg: FrontSettings) -> None:
-        """Share the retry budget as ``cfg`` says from now on."""
+        """Apply changed settings, such as the reserve of the retry budget."""
         self._cfg = cfg
         self._share_budget()
 
     def put_in_force(self, cfg: Configuration) -> bool:
-        """Serve by ``cfg`` if it is newer than what is in force."""
+        """Apply ``cfg`` if it is newer than the configuration in force; return whether it was."""
         before = self.in_force
-        # What a slow or repeated read brings late must not undo a newer one.
+        # A slow or repeated read may return an older version than the one in force.
         if before is not None and cfg.version <= before.version:
             return False
         self._beliefs.fleet.configure(cfg)
@@ -121,7 +122,7 @@
         return True
 
     async def follow_configuration(self) -> None:
-        """Put each newer configuration in force, until cancelled."""
+        """Apply each newer configuration, until cancelled."""
         span_s = self._cfg.config_s
         pacing = Pacing(CONFIGURATION_WAIT_SHARE * span_s, CONFIGURATION_REST_S, CONFIGURATION_SPREAD_SHARE * span_s)
         taker = Taker(
@@ -133,18 +134,18 @@
         await self._follow(OPERATOR_TOPIC, pacing, taker)
 
     async def follow_runners(self) -> None:
-        """Keep the fleet in step, until cancelled."""
+        """Keep the fleet in step with the registered runners, until cancelled."""
         span_s = self._cfg.drain_s
         pacing = Pacing(RUNNER_WAIT_SHARE * span_s, RUNNER_REST_SHARE * span_s, RUNNER_SPREAD_SHARE * span_s)
         await self._follow(RUNNER_TOPIC, pacing, Taker(self._take_runners, self._take_runner))
 
     async def follow_entries(self) -> None:
-        """Learn of the other entries, until cancelled."""
+        """Keep the list of peers in step with the store, until cancelled."""
         pacing = Pacing(ENTRY_WAIT_S, ENTRY_REST_S, ENTRY_SPREAD_S)
         await self._follow(ENTRY_TOPIC, pacing, Taker(self._take_entries, self._take_entry, self._own.check))
 
     async def follow_quarantine(self) -> None:
-        """Learn which requests may not be sent, until cancelled."""
+        """Keep the quarantine in step with the store, until cancelled."""
         quarantine = self._beliefs.quarantine
         pacing = Pacing(QUARANTINE_WAIT_S, QUARANTINE_REST_S, QUARANTINE_SPREAD_S)
         taker = Taker(quarantine.take_records, quarantine.take_record, quarantine.restore)
@@ -153,7 +154,7 @@
     async def _follow(self, topic: str, pacing: Pacing, taker: Taker) -> None:
         peers = self._beliefs.peers
         others = Others(self._cfg.name, peers.count, peers.tell_news)
-        # Drawn apart by name, so that no two entries keep the same step.
+        # Seeded by name, so that no two instances poll at the same times.
         watch = Watch(self._new_client(), topic, pacing, taker, others, Random(self._cfg.name))
         self._watches[topic] = watch
         await watch.run()
@@ -181,8 +182,8 @@
         runner = _decode_runner(record) if record.text else None
         before = self._registered.pop(record.key, None)
         if runner is None:
-            # Also if another writer has put something else there: until the
-            # runner renews its registration, nothing vouches for it.
+            # A record that can't be decoded also counts as removed: another writer may
+            # have replaced it. The runner counts again once it renews its registration.
             self._beliefs.fleet.remove(record.key)
             return before is not None
         self._registered[record.key] = runner
@@ -213,7 +214,7 @@
 
 
 def _pass_over(_: str) -> None:
-    """Ask nobody."""
+    """Ignore the request."""
 
 
 __all__ = ('Beliefs', 'Intake')
--- a/packages/sesamepoint/src/sesamepoint/front/job.py
+++ b/packages/sesamepoint/src/sesamepoint/front/job.py
@@ -1,4 +1,4 @@
-"""A request on its way, and what was tried for it."""
+"""A request in progress: its deadlines, its attempts and what is logged of it."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     from sesamepoint.front.request import FrontRequest
     from sesamepoint.front.trials import Trial
 
-# Taken off the time that a runner gets, so that its last word still reaches
-# the caller.
+# Subtracted from the time that a runner gets, so that the end of its answer
+# still reaches the caller in time.
 RETURN_S = 0.01
 FIRST_SUCCESS = 200
 FIRST_REDIRECT = 300
-# When a caller may come back after a moment of bad luck, in seconds.
+# Retry-After where nothing better is known, as for a short lack of runners, in seconds.
 SOON_S = 0.1
-# Callers wait for a stream's first event for the longest of these: seconds,
-# multiples of the time in which it is on time, multiples of a pause (published
-# by the callers' operator).
+# Callers wait for the first event of a stream for the longest of: this many
+# seconds, this many target latencies, this many times the allowed pause
+# (published by the operator of the callers).
 MIN_STREAM_PATIENCE_S = 2.0
 TARGETS_WAITED = 4.0
 PAUSES_WAITED = 8.0
@@ -38,32 +38,32 @@
 
 @dataclass
 class Notes:
-    """What the log line and the metrics tell of a request.
+    """Measurements and causes of one request, for its log line and the metrics.
 
     Parameters
     ----------
     first_at
-        When the caller got the first of its answer, on trio's clock.
+        When the first part of the answer went to the caller, on trio's clock.
     sent_at
-        When it was sent last, on trio's clock.
+        When the request was last sent to a runner, on trio's clock.
     prefill_s
-        How long reading the prompt apart took.
+        Duration of the remote prefill, in seconds; None if there was none.
     held_s
-        How long it waited here for an engine.
+        Seconds that the request waited here for an engine.
     wait_expected_s
-        How long it was to wait, as estimated when it came.
+        Wait in seconds as estimated when the request came; None without an estimate.
     cause
-        Why its answer is no whole one.
+        Why there was no complete answer.
     refused
-        Whether it was turned away since engines are too busy.
+        Whether the request was refused because engines are too busy.
     held_back
-        Why it was not sent, if it may be that it ends its runners.
+        Why the request was not sent, as for a quarantine, back-off or rate limit.
     withheld
-        How often nothing was sent to a runner that had been chosen.
+        How often nothing was sent to a chosen runner because the send check failed.
     passed_over
-        Runners that it could not be sent to at the moment of a choice, as they rested or by their limits.
+        Runners that were ineligible at a choice because of back-off or a rate limit.
     decision
-        The newest choice of a path, with the figures that decided it.
+        The latest choice of a placement, with the figures that decided it.
     """
 
     first_at: float | None = None
@@ -86,22 +86,22 @@
 
 @dataclass
 class Standing:
-    """Whose request it is, and whether it may still be sent.
+    """The account of a request, and whether it may still be sent.
 
     Parameters
     ----------
     account
-        None if it is nobody's.
+        None if the request belongs to no account.
     denied
-        Why it may not be sent any more: its key was taken since it came.
+        Why the request may no longer be sent: its key was revoked after it came.
     scope
-        Ends the work on it.
+        Cancels the work on the request.
     permits
-        Runners with a limit to which it may be sent once.
+        Runners whose rate limit granted a token, for one send each.
     ran
-        Whether a runner has begun to run it.
+        Whether a runner has begun to run the request.
     on_run
-        Called when the first one has.
+        Called when the first runner has begun to run it.
     """
 
     account: Account | None = None
@@ -113,10 +113,10 @@
 
 
 class Job:
-    """One request with its route, its deadline and its history."""
+    """A request in progress, with its route, its deadlines and its attempts."""
 
     def __init__(self, req: FrontRequest, route: Route, service: str, reply: Reply, *, returned: bool = False) -> None:
-        """Nothing has been tried yet; ``returned`` if its caller comes back after a refusal or a failure."""
+        """Start without attempts; the flag marks a retry of the caller after a refusal or a failure."""
         self.returned = returned
         self.req = req
         self.route = route
@@ -124,59 +124,59 @@
         self.reply = reply
         self.sends = 0
         self.maybe_run = False
-        # By key, in the order in which they were tried.
+        # By runner key, in the order of the attempts.
         self.tried: dict[str, Start] = {}
         self.notes = Notes()
-        # Whether its prompt may be read apart: the first time it is free.
+        # Whether a remote prefill is allowed: the first is free, further ones use the retry budget.
         self.may_read_apart = True
         self.retry_after_s = SOON_S
-        # The runners that ended under its newest send, until that is learned from.
+        # Runners that ended during the latest send, until the quarantine has counted them.
         self.ended: list[Start] = []
-        # Set while it is sent alone, as one that may end its runner.
+        # Set while the request is sent alone, as a probe for a suspected poison request.
         self.trial: Trial | None = None
         self.standing = Standing()
 
     @cached_property
     def deadline(self) -> float:
-        """Return until when its caller waits, on trio's clock."""
+        """Return until when the caller waits for the whole answer, on trio's clock."""
         return self.req.arrived + min(self.req.deadline_s or self.route.timeout_s, self.route.timeout_s)
 
     @cached_property
     def first_deadline(self) -> float:
-        """Return until when its caller waits for a first sign of an answer."""
+        """Return until when the caller waits for the first part of the answer, on trio's clock."""
         route = self.route
         if not route.streamed:
             return self.deadline
-        # Callers leave a stream that shows nothing for so long.
+        # Callers disconnect if a stream has no event by then.
         patience_s = max(MIN_STREAM_PATIENCE_S, TARGETS_WAITED * route.target_s, PAUSES_WAITED * route.pause_s)
         return min(self.deadline, self.req.arrived + patience_s)
 
     @cached_property
     def content_id(self) -> str:
-        """Return what is the same for each attempt with this request, at any instance."""
+        """Return an id that is the same for each attempt of the caller, at any instance."""
         return content_id(self.req)
 
     @property
     def priority(self) -> int:
-        """Return its rank: that of its account if it has one, else that of its route; 0 is the most urgent."""
+        """Return the priority of the account if it has one, else that of the route; 0 is the most urgent."""
         account = self.standing.account
         if account is None or account.priority is None:
             return self.route.priority
         return account.priority
 
     def note_no_runner(self) -> None:
-        """Note that no runner is known that could take it; nobody knows until when."""
+        """Set the Retry-After for a lack of runners of unknown duration."""
         if not self.sends:
             self.retry_after_s = when_unknown_s(self.caller_left_s)
 
     def note_first(self) -> None:
-        """Note that the caller gets the first of its answer."""
+        """Record that the first part of the answer goes to the caller."""
         if self.notes.first_at is None:
             self.notes.first_at = trio.current_time()
             self.note_run()
 
     def note_run(self) -> None:
-        """Note that a runner has begun to run it; more runs of it count as one."""
+        """Record that a runner has begun to run the request; later runs are not counted."""
         if not self.standing.ran:
             self.standing.ran = True
             if self.standing.on_run is not None:
@@ -184,19 +184,19 @@
 
     @property
     def on_time_s(self) -> float:
-        """Return the seconds from now within which an answer is on time.
+        """Return the seconds from now within which an answer meets its target latency.
 
-        None are left to a caller that comes back: its time runs since its
-        first attempt.
+        This is 0 for a retry of the caller, whose time has run since its first
+        attempt.
         """
         if self.returned:
             return 0
         return self.req.arrived + self.route.target_s - trio.current_time()
 
     def was_on_time(self, took_s: float) -> bool:
-        """Tell whether a request that took ``took_s`` was answered in time.
+        """Return whether a request that took ``took_s`` met its target latency.
 
-        Of streams that holds for the first event and for each pause.
+        For streams, the first event and each pause must meet their limits.
         """
         if self.returned or self.reply.unfinished or not successful(self.reply.status):
             return False
@@ -209,23 +209,23 @@
 
     @property
     def caller_left_s(self) -> float:
-        """Return the seconds that the caller has, also to come back in; a route may allow one try less."""
+        """Return the seconds that the caller has left, retries included; the route may allow less for this request."""
         left_s = self.req.left_s(trio.current_time())
         return self.left_s if left_s is None else left_s
 
     @property
     def first_left_s(self) -> float:
-        """Return the seconds that are left for a first sign of an answer."""
+        """Return the seconds left for the first part of the answer."""
         return self.first_deadline - trio.current_time()
 
     @property
     def left_s(self) -> float:
-        """Return the seconds that a runner may take from now on."""
+        """Return the seconds that a runner has left for its answer."""
         return self.deadline - trio.current_time() - RETURN_S
 
 
 def successful(status: int) -> bool:
-    """Tell whether an answer with ``status`` is a success."""
+    """Return whether ``status`` is a success (2xx)."""
     return FIRST_SUCCESS <= status < FIRST_REDIRECT
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/metrics.py
+++ b/packages/sesamepoint/src/sesamepoint/front/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of the front; docs/OPERATIONS.md says what they mean."""
+"""Counters, gauges and latency histograms of the front; docs/OPERATIONS.md describes them."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
     from sesamepoint.front.job import Job
 
-# Seconds; the bounds lie around today's targets of 0.2 to 0.8 s.
+# Bounds in seconds, around the current target latencies of 0.2 to 0.8 s.
 BUCKETS = (0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0)
 
 
-# Accounts that are counted by name; what others ask is counted together. Each is
-# some five rows on the page.
+# Accounts with a label of their own; all others share one label. Each adds about
+# five rows to the metrics page.
 MAX_ACCOUNTS = 200
 OTHER_ACCOUNTS = 'other'
 
 
 class FrontMetrics:
-    """What one process counts, in a registry of its own."""
+    """Metrics of one process, in a registry of its own."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -74,19 +74,19 @@
         )
 
     def count_denied(self, fault: str) -> None:
-        """Count a request whose key is no account's."""
+        """Count a request whose key belongs to no account."""
         self._denied.labels(fault).inc()
 
     def watch(self, name: str, text: str, value_of: Callable[[], float]) -> None:
-        """Show a gauge that is asked for when the page is read."""
+        """Add a gauge that is evaluated when the page is read."""
         Gauge(name, text, registry=self.registry).set_function(value_of)
 
     def note_broken(self, service: str, outcome: str) -> None:
-        """Count a send that ended without a whole answer."""
+        """Count a send that ended without a complete answer."""
         self._broken.labels(service, outcome).inc()
 
     def observe(self, job: Job, took_s: float) -> None:
-        """Count one request that has ended."""
+        """Count a request that has ended."""
         path = str(job.notes.decision.get('path', 'plain'))
         self._requests.labels(job.service, path, _outcome(job)).inc()
         account = job.standing.account
--- a/packages/sesamepoint/src/sesamepoint/front/pages.py
+++ b/packages/sesamepoint/src/sesamepoint/front/pages.py
@@ -1,4 +1,4 @@
-"""The pages for the platform and for operators: readiness and metrics."""
+"""HTTP pages for the platform, operators and peers, such as readiness, metrics and configuration."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class Page:
-    """A status and a text for each request of one path."""
+    """Provides the status and text of one path."""
 
     def __init__(self, text: Callable[[], bytes], good: Callable[[], bool]) -> None:
-        """Show ``text``, with 200 while ``good``."""
+        """Take callbacks for the text and for the status: 200 if the second returns true, else 503."""
         self._text = text
         self._good = good
 
     def show(self) -> tuple[int, bytes]:
-        """Return the status and the text of now."""
+        """Return the current status and text."""
         return (STATUS_OK if self._good() else STATUS_UNAVAILABLE), self._text()
 
 
 class Pages:
-    """Serves pages by their path on connections of their own."""
+    """Serves pages by path, on connections apart from those of callers."""
 
     def __init__(self, pages: Mapping[str, Page]) -> None:
-        """Serve ``pages``."""
+        """Serve ``pages``, which has a page for each path."""
         self._pages = pages
 
     async def serve(self, transport: Transport) -> None:
--- a/packages/sesamepoint/src/sesamepoint/front/reply.py
+++ b/packages/sesamepoint/src/sesamepoint/front/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one caller, as far as it went."""
+"""The reply to one request of a caller, and how much of it was sent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Reply:
-    """Writes one answer to a caller's connection."""
+    """Writes one answer to the connection of a caller."""
 
     def __init__(self, conn: ServerConn) -> None:
         """Answer on ``conn``."""
@@ -30,31 +30,31 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the caller has got a part of an answer."""
+        """Return whether a part of an answer was sent."""
         return bool(self.status)
 
     def check_caller(self) -> None:
-        """Raise a ``CallerGoneError`` if the caller's close has arrived."""
+        """Raise a ``CallerGoneError`` if the caller has closed the connection."""
         self._conn.check_caller()
 
     async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.status = status
         await self._conn.whole(status, headers, body)
 
     async def refuse(self, status: int, reason: str, retry_after_s: float | None = None) -> None:
-        """Send an answer of our own, with a time to come back if there is one."""
+        """Send an error of this instance, with a Retry-After in seconds if given."""
         headers: Headers = (JSON_TYPE,)
         if retry_after_s is not None:
             headers = (*headers, (RETRY_AFTER, f'{retry_after_s:.3f}'.encode()))
         await self.whole(status, headers, msgspec.json.encode({'error': reason}))
 
     async def deny(self, reason: str) -> None:
-        """Tell the caller that it needs another key."""
+        """Send a 401, which asks the caller for another key."""
         await self.whole(UNAUTHORIZED, (JSON_TYPE, CHALLENGE), msgspec.json.encode({'error': reason}))
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer that comes in parts."""
+        """Send the head of a streamed answer."""
         self.status = status
         self._streaming = True
         await self._conn.begin(status, headers)
@@ -64,13 +64,13 @@
         await self._conn.part(body)
 
     async def end(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
         self._streaming = False
         await self._conn.end()
 
     @property
     def unfinished(self) -> bool:
-        """Tell whether an answer has begun and was not brought to its end."""
+        """Return whether a streamed answer has begun but not ended."""
         return self._streaming
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/reporting.py
+++ b/packages/sesamepoint/src/sesamepoint/front/reporting.py
@@ -1,4 +1,4 @@
-"""The parts of a front that count and report what client accounts use."""
+"""Usage reporting: the parts of a front that count and report the usage of client accounts."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class Reporting:
-    """Counts here, and reports for all while this instance holds the duty."""
+    """Counts usage, and reports it for all instances while this one holds the lease of the duty."""
 
     def __init__(
         self, cfg: DutySettings, peers: Peers, store: StoreClient, network: Network, clock: Clock, rng: Random
     ) -> None:
-        """Put the parts together without starting them."""
+        """Create the parts without starting them."""
         true_time = TrueTime(clock)
         meter = UsageMeter(cfg.window_s)
         self._counts = UsageCounts(meter, true_time, clock, peers, rng)
@@ -37,11 +37,11 @@
         peers.on_word[UsageWord] = self._duty.heard_usage
 
     def note_run(self, job: Job) -> None:
-        """Count a request that a runner has begun to run."""
+        """Count a request when a runner has begun to run it."""
         self._counts.note_run(job)
 
     def children(self) -> list[Child]:
-        """Return the parts that run."""
+        """Return the background tasks."""
         return [
             Child('usage', self._counts.run),
             Child('duty-lease', self._duty.hold),
@@ -49,7 +49,7 @@
         ]
 
     async def wind_down(self) -> None:
-        """Leave the duty and the last counts to the others: this instance is about to stop."""
+        """Send the last counts to the peers and give the duty back, before this instance stops."""
         await self._counts.tell_last()
         await self._duty.give_back()
 
--- a/packages/sesamepoint/src/sesamepoint/front/request.py
+++ b/packages/sesamepoint/src/sesamepoint/front/request.py
@@ -1,4 +1,4 @@
-"""A caller's request after its checks."""
+"""The decoded request of a caller."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class FrontRequest(NamedTuple):
-    """What a caller wants, and by when.
+    """A valid request of a caller, with its deadline.
 
     Parameters
     ----------
     head
-        With the headers that are forwarded only.
+        Request head with only the headers to forward.
     arrived
-        On trio's clock.
+        Time of arrival, on trio's clock.
     caller
-        The address that it came from; empty if it is not known.
+        Address of the caller; empty if unknown.
     deadline_s
-        Seconds after ``arrived`` until the caller leaves; None if unknown.
+        Seconds from arrival until the caller disconnects; None if unknown.
     key
-        What its caller shows; never the key itself.
+        Digest or fault of the key that the caller sent; never the key itself.
     """
 
     request_id: str
@@ -40,7 +40,7 @@
     key: ShownKey = ShownKey()
 
     def left_s(self, now: float) -> float | None:
-        """Return the seconds that the caller has from ``now`` on; None if unknown."""
+        """Return the seconds from ``now`` until the deadline of the caller; None if unknown."""
         return None if self.deadline_s is None else self.arrived + self.deadline_s - now
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/results.py
+++ b/packages/sesamepoint/src/sesamepoint/front/results.py
@@ -1,4 +1,4 @@
-"""What became of one attempt at one runner: tagged outcomes."""
+"""Outcomes of an attempt at one runner, with tags for the log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Relayed:
-    """The runner's whole answer went to the caller."""
+    """The complete answer of the runner was relayed to the caller."""
 
     tag: ClassVar[str] = 'relayed'
     status: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Unsent:
-    """The runner never got the request."""
+    """The request did not reach the runner."""
 
     tag: ClassVar[str] = 'unsent'
     cause: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Withheld:
-    """The gate to the runner had closed since it was chosen, by ``condition``; nothing was sent."""
+    """Nothing was sent, because the send check failed on ``condition`` after the runner was chosen."""
 
     tag: ClassVar[str] = 'withheld'
     condition: str
@@ -37,7 +37,7 @@
 class Rejected:
     """The runner stated that it did not run the request.
 
-    ``replaced`` if another incarnation has its address by now.
+    The flag is set if another incarnation has its address by now.
     """
 
     tag: ClassVar[str] = 'rejected'
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class RunFailed:
-    """The runner ran the request and answered with a failure of its own."""
+    """The runner ran the request and answered with an error."""
 
     tag: ClassVar[str] = 'run_failed'
     head: ResponseHead
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """No whole answer came; the request may have run.
+    """No complete answer arrived; the request may have run.
 
-    ``ended`` if its runner takes no connections any more, so that it has not
-    just lost this answer.
+    The flag is set if the runner no longer accepts connections, so that more
+    than this answer was lost.
     """
 
     tag: ClassVar[str] = 'broken'
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Silent:
-    """No sign of an answer came in the time that was allowed."""
+    """No output arrived before the silence timeout."""
 
     tag: ClassVar[str] = 'silent'
 
--- a/packages/sesamepoint/src/sesamepoint/front/sends.py
+++ b/packages/sesamepoint/src/sesamepoint/front/sends.py
@@ -1,4 +1,4 @@
-"""What this entry sends to engines: counted here and told to its peers."""
+"""Sends to engines: recorded here and announced to peers."""
 
 from __future__ import annotations
 
@@ -20,17 +20,16 @@
     from sesamepoint.front.member import Member
 
 SERIAL_BITS = 30
-# Reads of this many seconds are worth a datagram of their own: others that
-# chose the same engine in ignorance would wait for all of it.
+# Prefills of this many seconds or more are announced in a datagram of their own:
+# peers that do not know of one and choose the same engine wait until it ends.
 LONG_WORK_S = 0.02
-# Long work waits for its word to go out no longer than this, in seconds: a word
-# to 70 entries takes a link of 10 Mbit/s 15 ms.
+# Longest wait, in seconds, until a long prefill is announced: an announcement to
+# 70 peers takes 15 ms on a link of 10 Mbit/s.
 ANNOUNCE_S = 0.03
 
 
-# Peers are other processes: what they tell is bounded before it is believed.
-# An hour of work, and as many tokens as no engine's memory holds, would keep
-# an engine out of use.
+# Bounds on figures from peers, which are other processes. An hour of prefill, or
+# more tokens than any engine's memory holds, would keep an engine out of use.
 MAX_TOLD_S = 3600
 MAX_TOLD_TOKENS = 1_000_000_000
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_TOLD_S)]
@@ -38,20 +37,20 @@
 
 
 class Send(NamedTuple):
-    """A prompt, or the memory of one, that an entry sent to a runner.
+    """Announcement that an instance sent a prompt, or the KV memory of one, to a runner.
 
     Parameters
     ----------
     work_s
-        Seconds of reading; 0 if the prompt was read elsewhere.
+        Seconds of prefill; 0 if the prefill ran elsewhere.
     tokens
-        Memory that the answer takes up; 0 if only the prompt is read.
+        Memory that the answer takes up; 0 for a prefill alone.
     parts
-        What the runner holds from then on.
+        Prefix blocks that the runner caches from then on.
     late
-        Whether the answer can't be on time any more.
+        Whether the answer can no longer meet its target latency.
     born_ms
-        The start of the runner that got it; what an earlier one had is gone.
+        Start time of the runner's incarnation, in ms since 1970; the state of an earlier one is lost.
     """
 
     serial: int
@@ -64,13 +63,13 @@
 
 
 class End(NamedTuple):
-    """The end of a send: its prompt is read, or all is ``finished``.
+    """Announcement that the prefill of a send has ended, or the whole send if ``finished``.
 
     Parameters
     ----------
     lost
-        Whether the engine failed to give what was asked of it; None if that
-        can't be told, as of a request whose caller has left.
+        Whether the engine failed to serve the send; None if that is unknown, as
+        for a request whose caller has disconnected.
     """
 
     serial: int
@@ -81,7 +80,7 @@
 
 
 class NewLoad(NamedTuple):
-    """What a send puts on a member; the fields are those of :class:`Send`."""
+    """Load that a send adds to a member; the fields are those of :class:`Send`."""
 
     member: Member
     work_s: float
@@ -90,7 +89,7 @@
 
 
 class Word(msgspec.Struct, frozen=True, array_like=True, tag='sends'):
-    """What one entry tells the others at a time."""
+    """Update with the sends of one instance since its last update."""
 
     entry: str
     sends: tuple[Send, ...]
@@ -99,25 +98,25 @@
 
 
 class SendNotes:
-    """Keeps the models of runners in step with all entries' sends."""
+    """Keeps the modelled load and cache of runners in step with the sends of all instances."""
 
     def __init__(self, entry: str, fleet: Fleet, rng: Random) -> None:
-        """Update the members of ``fleet``; ``entry`` is this one's name."""
+        """Update the members of ``fleet``; the name is that of this instance."""
         self.backlog = Backlog()
         self.fresh = trio.Event()
         self.urgent = trio.Event()
-        # Set when the peers have been told what has come until now.
+        # Set when all that was pending has been sent to the peers.
         self.told = trio.Event()
         self._entry = entry
         self._long: set[int] = set()
         self._fleet = fleet
         self._sends: list[Send] = []
         self._ends: list[End] = []
-        # A restarted entry must not end the work of the one before it.
+        # Starts at random, so that a restarted instance can't end sends of its former incarnation.
         self._serial = rng.getrandbits(SERIAL_BITS)
 
     def begin(self, load: NewLoad, parts: Sequence[Part]) -> End:
-        """Note a send to an engine; pass what this returns to :meth:`end`."""
+        """Record a send to an engine; pass the returned object to :meth:`end`."""
         self._serial += 1
         runner = load.member.runner
         send = Send(
@@ -138,7 +137,7 @@
         return End(send.serial, runner.key, finished=False, born_ms=runner.born_ms)
 
     def end(self, end: End) -> None:
-        """Note that the prompt is read, or that all is finished."""
+        """Record the end of a prefill or of a whole send."""
         self._finish(self._entry, end)
         self._ends.append(end)
         self.fresh.set()
@@ -147,7 +146,7 @@
             self.urgent.set()
 
     def heard(self, word: Word) -> None:
-        """Take in what a peer told."""
+        """Apply an update from a peer."""
         self.backlog.heard(word.entry, word.held)
         for send in word.sends:
             self._apply(word.entry, send)
@@ -155,46 +154,46 @@
             self._finish(word.entry, end)
 
     async def announced(self, end: End) -> None:
-        """Wait until peers were told of the send that ``end`` will end, if it is long work.
+        """Wait until the send that ``end`` will end is announced to peers, if its prefill is long.
 
-        The word has to be on the link before the body is: behind 60 kB it
-        comes 50 ms later, or gets lost.
+        The announcement must leave before the body of the request: behind 60 kB
+        it arrives 50 ms later or gets lost.
         """
         if end.serial in self._long:
             with trio.move_on_after(ANNOUNCE_S):
                 await self.told.wait()
 
     def drain(self) -> Word:
-        """Return what peers have not been told yet."""
-        word = Word(self._entry, tuple(self._sends), tuple(self._ends), self.backlog.own)
+        """Return the update that is pending for peers, and start an empty one."""
+        update = Word(self._entry, tuple(self._sends), tuple(self._ends), self.backlog.own)
         self._sends = []
         self._ends = []
         self.fresh = trio.Event()
         self.urgent = trio.Event()
         self.told = trio.Event()
-        return word
+        return update
 
     def _apply(self, entry: str, send: Send) -> None:
         member = self._fleet.at_start(send.runner, send.born_ms)
         if member is None:
             return
         now = trio.current_time()
-        name = _name(entry, send.serial)
-        member.cache.touch(send.parts, name if send.work_s else '')
+        work_id = _name(entry, send.serial)
+        member.cache.touch(send.parts, work_id if send.work_s else '')
         if send.work_s:
-            member.load.add_work(name, Work(send.work_s, now))
+            member.load.add_work(work_id, Work(send.work_s, now))
         if send.tokens:
-            member.load.add_stream(name, Stream(send.tokens, now, send.late))
+            member.load.add_stream(work_id, Stream(send.tokens, now, send.late))
 
     def _finish(self, entry: str, end: End) -> None:
         member = self._fleet.at_start(end.runner, end.born_ms)
         if member is None:
             return
-        name = _name(entry, end.serial)
-        member.load.read(name, trio.current_time())
-        member.cache.read(name)
+        work_id = _name(entry, end.serial)
+        member.load.read(work_id, trio.current_time())
+        member.cache.read(work_id)
         if end.finished:
-            member.load.finished(name)
+            member.load.finished(work_id)
         if end.lost is not None:
             member.losses.note(trio.current_time(), lost=end.lost)
 
--- a/packages/sesamepoint/src/sesamepoint/front/settings.py
+++ b/packages/sesamepoint/src/sesamepoint/front/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a front process, whatever file they came from."""
+"""Settings of a front process, independent of the file format."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class StoreSettings(NamedTuple):
-    """Where the platform's store is."""
+    """Settings of the platform's store."""
 
     address: Address
 
 
 class DutySettings(NamedTuple):
-    """What is reported on the use of client accounts, and where.
+    """Settings of the duty that reports the usage of client accounts.
 
     Parameters
     ----------
     address
-        Takes the reports.
+        Where the reports are sent.
     window_s
-        Each report is about a window of this length.
+        Length of the window that a report covers, in seconds.
     late_s
-        It is due so long after the end of its window.
+        Seconds after the end of its window by which a report is due.
     turns_s
-        Within this no two holders may take turns.
+        Lease time: seconds within which the duty must not pass from one holder to another.
     """
 
     address: Address
@@ -35,28 +35,27 @@
 
 
 class FrontSettings(NamedTuple):
-    """What one front process needs to know.
+    """Settings of one front process.
 
     Parameters
     ----------
     host
-        The address of this instance, for its peers.
+        Address at which peers reach this instance.
     peer_port
-        Peers exchange datagrams on this port, and ask each other over
-        connections; the same on all instances.
+        Port for datagrams and connections between peers; the same on all instances.
     drain_s
-        How long a runner that leaves may still get requests.
+        Seconds for which a draining runner may still get requests.
     stop_s
-        Time between the signal to stop and the end by force.
+        Seconds between the signal to stop and the kill.
     config_s
-        Within this a new configuration must be in force.
+        Seconds within which a new configuration must be in force.
     duty
-        None if nobody wants reports.
+        None if there are no usage reports.
     link_bytes_s
-        What the link of this instance carries a second.
+        Bandwidth of the link of this instance, in bytes per second.
     retry_ratio, retry_reserve, retry_window_s
-        In each window of ``retry_window_s`` all entries together may send
-        again ``retry_ratio`` of the requests, and ``retry_reserve`` more.
+        In each window of ``retry_window_s`` seconds all instances together may
+        retry ``retry_ratio`` of the requests, and ``retry_reserve`` more.
     """
 
     name: str
@@ -77,7 +76,7 @@
 
     @property
     def peer_listen(self) -> Address:
-        """Return where peers reach this instance, by datagrams and connections."""
+        """Return the address at which peers reach this instance."""
         return Address(self.host, self.peer_port)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/tries.py
+++ b/packages/sesamepoint/src/sesamepoint/front/tries.py
@@ -1,4 +1,4 @@
-"""One attempt for a job, and what it teaches about the runner."""
+"""Attempts of a request, their effect on the health of runners, and the rules for retries."""
 
 from __future__ import annotations
 
@@ -23,30 +23,31 @@
     from sesamepoint.front.prefill import PrefillFailed
     from sesamepoint.front.results import AttemptResult
 
-# How long a runner may stay silent before work that may be repeated goes
-# elsewhere: this many times what was expected, and at least this long. Plain
-# services answer in tens of milliseconds. Engines under load are slower than
-# any estimate, and what is taken from them has to be read again elsewhere.
+# Silence timeout after which a repeatable request goes to another runner: this
+# many times the expected time, and at least this many seconds. Plain services
+# answer in tens of milliseconds. Engines get more time: under load they are slower
+# than estimated, and a move to another engine repeats the prefill.
 PATIENCE_FACTOR = 3.0
 MIN_PATIENCE_S = 0.4
 ENGINE_PATIENCE_FACTOR = 4.0
 MIN_ENGINE_PATIENCE_S = 1.2
-# So often may the gate to a runner close between its choice and the send of one request;
-# beliefs that change oftener than that are no ground to choose by.
+# How often the send check of one request may fail after a runner was chosen. Runner
+# status that changes more often than that is too unstable to choose by.
 MAX_WITHHELD = 16
 
 
 def patience_s(expected_s: float, *, engine: bool) -> float:
-    """Return how long to wait for a sign that was expected in ``expected_s``."""
+    """Return the silence timeout in seconds for a first output that is expected in ``expected_s``."""
     if engine:
         return max(MIN_ENGINE_PATIENCE_S, ENGINE_PATIENCE_FACTOR * expected_s)
     return max(MIN_PATIENCE_S, PATIENCE_FACTOR * expected_s)
 
 
 def target_for(job: Job, member: Member, expected_s: float) -> Target:
-    """Return ``member`` as the target of the job's next attempt.
+    """Return ``member`` as the target of the next attempt.
 
-    What can't go elsewhere stays to the end: a silent runner may be at work.
+    There is no silence timeout if no further attempt is allowed, because a
+    silent runner may still be at work.
     """
     movable = repeatable(job) and job.sends + 1 < job.route.max_attempts
     allowed_s = patience_s(expected_s, engine=job.req.prompt is not None) if movable else math.inf
@@ -60,35 +61,35 @@
 
 
 async def attempt(job: Job, target: Target) -> AttemptResult:
-    """Send ``job`` to ``target`` and note what came of it."""
+    """Send ``job`` to ``target`` and record the outcome."""
     member = target.member
     job.tried[member.runner.key] = member.start
     job.sends += 1
-    # What kept it waiting until now is not why it may fail from here on.
+    # Causes of an earlier wait must not be logged as the cause of a later failure.
     job.notes.refused = False
     job.notes.held_back = Cause.none
     ran_before = job.maybe_run
     job.maybe_run = True
-    under_way = Attempt(job.req, target, job.reply, streamed=job.route.streamed)
+    exchange = Attempt(job.req, target, job.reply, streamed=job.route.streamed)
     started = trio.current_time()
     job.notes.sent_at = started
-    became = await under_way.run()
-    if isinstance(became, RunFailed):
-        # It has run, and its answer may go to nobody.
+    outcome = await exchange.run()
+    if isinstance(outcome, RunFailed):
+        # The runner has run the request, even if its answer is never relayed.
         job.note_run()
-    if isinstance(became, Unsent | Rejected | Withheld):
-        # An earlier send may have run all the same; 'not run' would be untrue.
+    if isinstance(outcome, Unsent | Rejected | Withheld):
+        # An earlier attempt may have run, so the flag goes back to what it was.
         job.maybe_run = ran_before
-    if isinstance(became, Withheld):
+    if isinstance(outcome, Withheld):
         job.sends -= 1
-        note_withheld(job, target, became, started)
+        note_withheld(job, target, outcome, started)
     else:
-        _judge(job, target, became, started)
-    return became
+        _judge(job, target, outcome, started)
+    return outcome
 
 
 def note_withheld(job: Job, target: Target, became: Withheld, started: float) -> None:
-    """Note that nothing was sent to a runner; it may be tried again when its gate has opened."""
+    """Record that the send check blocked a send; the runner may be chosen again later."""
     member = target.member
     job.tried.pop(member.runner.key, None)
     job.notes.withheld += 1
@@ -101,7 +102,7 @@
 
 
 def note_unread(job: Job, member: Member, found: PrefillFailed, started: float) -> None:
-    """Note that ``member`` did not read the job's prompt for another engine."""
+    """Record that a remote prefill at ``member`` failed."""
     events.log_event(
         events.PREFILL_FAILED,
         cause=found.cause,
@@ -118,13 +119,13 @@
 
 
 def note_failure(member: Member, cause: str, *, answered: bool = False) -> None:
-    """Count a failure of ``member``, which may leave it out for a while."""
+    """Count a failure of ``member``, which may eject it for a time."""
     if member.health.bad(trio.current_time(), answered=answered):
         events.log_event(events.RUNNER_EJECTED, runner=member.runner.key, cause=cause)
 
 
 def may_go_on(job: Job, found: AttemptResult) -> bool:
-    """Tell whether the job may be sent once more after ``found``."""
+    """Return whether another attempt is allowed after this outcome."""
     if isinstance(found, Relayed) or job.sends >= job.route.max_attempts:
         return False
     if isinstance(found, Unsent | Rejected):
@@ -137,12 +138,12 @@
 
 
 def repeatable(job: Job) -> bool:
-    """Tell whether the job may run more than once."""
+    """Return whether the route allows the request to run more than once."""
     return job.route.repeat is not Repeat.never
 
 
 def _send_fields(job: Job, member: Member, started: float) -> dict[str, object]:
-    """Return what all lines on a send tell that brought no whole answer."""
+    """Return the log fields that all failed sends share."""
     return {
         'request': job.req.request_id,
         'runner': member.runner.key,
@@ -184,10 +185,10 @@
         member.note_replaced(FROM_ANSWER)
         return
     if isinstance(became, Rejected) and member.rests:
-        # It has said when it takes requests again; that is no failure to find out by.
+        # The runner asked for back-off and said for how long; that is no failure.
         return
     if isinstance(became, Silent) and member.health.heard_since(started):
-        # It is busy, not dead: it has answered others meanwhile.
+        # The runner is busy, not dead: it has answered other requests since.
         return
     note_failure(member, became.tag, answered=isinstance(became, RunFailed))
 
