--- a/packages/sesamepoint/src/sesamepoint/front/conclusion.py
+++ b/packages/sesamepoint/src/sesamepoint/front/conclusion.py
@@ -33,7 +33,7 @@
 
 def log_end(job: Job, cfg: Configuration, took_s: float) -> None:
     """Write the final log line of a request."""
-    notes = job.notes
+    trace = job.notes
     events.log_event(
         events.ANSWER_ENDED,
         request=job.req.request_id,
@@ -51,19 +51,19 @@
         returned=job.returned,
         sends=job.sends,
         runners=sorted(job.tried),
-        passed_over=sorted(notes.passed_over),
+        passed_over=sorted(trace.passed_over),
         took_ms=whole_ms(took_s),
-        first_total_ms=None if notes.first_at is None else whole_ms(notes.first_at - job.req.arrived),
-        held_ms=whole_ms(notes.held_s),
-        prefill_ms=None if notes.prefill_s is None else whole_ms(notes.prefill_s),
-        wait_expected_ms=None if notes.wait_expected_s is None else whole_ms(notes.wait_expected_s),
-        need=notes.need,
-        pause_ms=whole_ms(notes.longest_pause_s),
+        first_total_ms=None if trace.first_at is None else whole_ms(trace.first_at - job.req.arrived),
+        held_ms=whole_ms(trace.held_s),
+        prefill_ms=None if trace.prefill_s is None else whole_ms(trace.prefill_s),
+        wait_expected_ms=None if trace.wait_expected_s is None else whole_ms(trace.wait_expected_s),
+        need=trace.need,
+        pause_ms=whole_ms(trace.longest_pause_s),
         pause_limit_ms=whole_ms(job.route.pause_s),
-        cause=notes.cause,
+        cause=trace.cause,
         tokens=job.req.prompt.tokens if job.req.prompt else 0,
         answer_tokens=job.req.prompt.max_output if job.req.prompt else 0,
-        **notes.decision,
+        **trace.decision,
     )
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/content.py
+++ b/packages/sesamepoint/src/sesamepoint/front/content.py
@@ -17,7 +17,8 @@
     """Return the content id of a request, which is the same at any instance.
 
     Request ids and the addresses of callers change with each attempt. Method,
-    host, target, body and prompt stay the same.
+    host, target, body and prompt stay the same. The digest covers the repr of the
+    prompt, so renaming its classes or fields would change the ids.
     """
     digest = blake2b(digest_size=ID_BYTES)
     for text in (req.head.method, req.host.encode(), req.head.target, req.body):
