--- a/packages/sesamepoint/src/sesamepoint/front/notices.py
+++ b/packages/sesamepoint/src/sesamepoint/front/notices.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests that may end runners."""
+"""Messages to peers on suspect requests, runners and configuration versions, and their send queue."""
 
 from __future__ import annotations
 
@@ -16,43 +16,44 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# What happened within this time goes together, in seconds: with a runner many
-# requests end at once.
+# Messages are batched for this time, in seconds: when a runner ends, many
+# requests end with it.
 GATHER_S = 0.002
-# Rows in one datagram, so that it is one packet.
+# Rows per datagram, so that it fits into one packet.
 MAX_ROWS = 24
-# Notices that wait to be told; more only pile up while a link is full.
+# Messages in the send queue; more pile up only while a link is full.
 MAX_WAITING = 6144
 # No configuration has more versions than this.
 MAX_VERSION = 1_000_000_000_000
 Version = Annotated[int, msgspec.Meta(ge=0, le=MAX_VERSION)]
-# Nothing is told of what was found out longer ago than this, in seconds.
+# Age beyond which a reported status of a runner is not accepted, in seconds.
 MAX_AGE_S = 3600
 AgeS = Annotated[float, msgspec.Meta(ge=0, le=MAX_AGE_S)]
 RestS = Annotated[float, msgspec.Meta(ge=0, le=LONGEST_REST_S)]
 
 
 class VersionNote(msgspec.Struct, frozen=True, array_like=True, tag='version'):
-    """The version of the configuration that is in force at an entry; 0 if none is."""
+    """Configuration version in force at the sender; 0 if none is."""
 
     entry: str
     version: Version
 
 
 class RunnerFact(StrEnum):
-    """What an entry may find out about a runner from one answer."""
+    """Status of a runner that an instance learned from one of its answers."""
 
-    # It answered that it is not the one that has registered its address.
+    # Another incarnation than the registered one answers at the address.
     replaced = 'replaced'
+    # The runner is draining.
     leaving = 'leaving'
-    # It turned the entry away and wants nothing from it for a while.
+    # The runner rejected a request and asked the instance to back off for a time.
     resting = 'resting'
 
 
 class RunnerNote(msgspec.Struct, frozen=True, array_like=True, tag='runner'):
-    """A fact about a runner that ``entry`` learned from an answer ``age_s`` seconds before.
+    """Status of a runner that the sender learned from an answer ``age_s`` seconds before.
 
-    ``rest_s`` is for how long it wants rest, if that is the fact.
+    ``rest_s`` is the back-off that the runner asked for, in seconds, if it did.
     """
 
     entry: str
@@ -63,28 +64,28 @@
 
 
 class EndNote(NamedTuple):
-    """A runner ended under a request."""
+    """End of a runner while it ran a request."""
 
     content_id: Name
     start: Start
 
 
 class TrialNote(NamedTuple):
-    """How far a trial of the entry that tells is."""
+    """State of a probe of the sender."""
 
     trial: Trial
     state: TrialState
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True, tag='notice'):
-    """What one entry tells the others at a time.
+    """Batch of what the sender found out about suspect requests.
 
     Parameters
     ----------
     served
-        Requests that were suspect and have been answered whole.
+        Suspect requests that were answered in full.
     quarantined
-        Requests that ended a runner on which they ran alone.
+        Requests that ended a runner while they ran on it alone.
     """
 
     entry: str
@@ -98,22 +99,22 @@
 
 
 class Letter(NamedTuple):
-    """A word and whom it is for; all others if ``to`` is empty."""
+    """Queued message and its recipient; an empty recipient stands for all peers."""
 
     to: str
     word: OutgoingWord
 
 
 class Outbox:
-    """Gathers what there is to tell; never blocks who tells it."""
+    """Queue of messages to peers; drops messages instead of blocking if it is full."""
 
     def __init__(self) -> None:
-        """Start with nothing to tell."""
+        """Start with an empty queue."""
         self._fresh = trio.Event()
         self._letters: list[Letter] = []
 
     def tell(self, word: OutgoingWord, to: str = '') -> None:
-        """Tell one entry, or all others."""
+        """Queue a message for one peer, or for all peers."""
         if len(self._letters) < MAX_WAITING:
             self._letters.append(Letter(to, word))
         else:
@@ -121,16 +122,16 @@
         self._fresh.set()
 
     async def next_letters(self) -> list[Letter]:
-        """Return what there is to send, waiting for the first; notices to all go together."""
+        """Wait for a message and return the queued ones; updates on suspects to all peers are merged."""
         await self._fresh.wait()
         await trio.sleep(GATHER_S)
         self._fresh = trio.Event()
-        waiting = self._letters
+        queued = self._letters
         self._letters = []
-        to_all = [letter.word for letter in waiting if not letter.to and isinstance(letter.word, Notice)]
+        to_all = [outgoing.word for outgoing in queued if not outgoing.to and isinstance(outgoing.word, Notice)]
         chunks = (to_all[start : start + MAX_ROWS] for start in range(0, len(to_all), MAX_ROWS))
-        apart = (letter for letter in waiting if letter.to or not isinstance(letter.word, Notice))
-        return [*apart, *(Letter('', _merged(chunk)) for chunk in chunks)]
+        unmerged = (outgoing for outgoing in queued if outgoing.to or not isinstance(outgoing.word, Notice))
+        return [*unmerged, *(Letter('', _merged(chunk)) for chunk in chunks)]
 
 
 def _merged(notices: Sequence[Notice]) -> Notice:
--- a/packages/sesamepoint/src/sesamepoint/front/peers.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peers.py
@@ -1,4 +1,4 @@
-"""Entries telling each other what they send to runners."""
+"""Messages between this instance and its peers: registration, broadcast, receipt."""
 
 from __future__ import annotations
 
@@ -29,22 +29,24 @@
     from sesamepoint.front.settings import FrontSettings
     from sesamepoint.platform.store import StoreClient
 
-# Sends are gathered for this long, in seconds, before peers are told: those of
-# one moment go together. Long work waits for it.
+# Sends are batched for this long, in seconds, before they are broadcast. Long
+# work waits for it.
 GATHER_S = 0.002
-# Short work is told within this time, with whatever else there is by then.
-# Told at once, it took ten datagrams a request and half of the processor.
+# Short work is broadcast within this time, in seconds, in one batch with
+# everything else that is pending. Broadcasting it at once took ten datagrams
+# per request and half of the processor.
 LAZY_S = 0.05
+# Pause before a failed registration is repeated, in seconds.
 REGISTER_AGAIN_S = 1.0
-# A stop waits for the store no longer than this, in seconds; when it answers,
-# it does so in milliseconds.
+# A stop waits for the store no longer than this, in seconds; a working store
+# answers in milliseconds.
 WITHDRAW_S = 0.3
-# How often it is looked whether the reader of the list has heard of this entry,
-# in seconds.
+# How often to check whether the instance that polls the list of instances is
+# due a heartbeat, in seconds.
 LOOK_S = 1.0
-# Who has heard no other entry for so long, in seconds, may have been cut off or
-# frozen, and has missed what the others told meanwhile. Under load words come
-# every 50 ms; without any, once in three seconds.
+# An instance that received nothing from any peer for this long, in seconds, may
+# have been cut off or frozen, and may have missed updates. Under load messages
+# arrive every 50 ms; without load, once in three seconds.
 DEAF_S = 2.0
 
 
@@ -52,7 +54,7 @@
 
 
 class Peers:
-    """The other entries, and the exchange with them."""
+    """Known peers, their addresses, and the exchange of messages with them."""
 
     def __init__(
         self,
@@ -62,7 +64,7 @@
         known: KnownEngines,
         network: PeerNetwork,
     ) -> None:
-        """Know nobody yet; ``known`` tells whom a send concerns."""
+        """Start without peers; the subset of known engines decides which peers a send concerns."""
         self._known = known
         self._network = network
         self._cfg = cfg
@@ -70,13 +72,13 @@
         self.members = Membership(cfg.name)
         self.registered = False
         self._addresses: dict[str, Address] = {}
-        # What to do with words of other entries, by their kind.
+        # Handlers of messages from peers, by message type.
         self.on_word: dict[type, Callable[[Any], None]] = {
             kind: _pass_over for kind in (News, VersionNote, DutyWord, UsageWord, AskWord, GrantWord, RunnerNote)
         }
-        # Called with the name of an entry that has just registered.
+        # Called with the name of a peer that has just registered.
         self.on_newcomer: list[Callable[[str], None]] = [quarantine.tell_newcomer]
-        # Called when others are heard again after a silence.
+        # Called on the first message after a time without any.
         self.hear_again: Callable[[], None] = _do_nothing
         self.name = cfg.name
         self._heard_at: float = 0
@@ -84,18 +86,18 @@
         self.outbox = quarantine.outbox
 
     def count(self) -> int:
-        """Return how many entries are registered, this one included."""
+        """Return the number of registered instances, including this one."""
         return len(self._addresses.keys() | {self._cfg.name})
 
     def replace_all(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the whole list of entries."""
+        """Replace the list of instances by ``records``."""
         for name in self._addresses.keys() - {record.key for record in records}:
             self.update(KeyedRecord(name, b''))
         for record in records:
             self.update(record)
 
     def update(self, record: KeyedRecord) -> bool:
-        """Take the newest word on one entry; returns whether it is another one."""
+        """Apply the newest record of one instance; return whether its address changed."""
         before = self._addresses.pop(record.key, None)
         address = _address(record)
         if address is None:
@@ -105,96 +107,96 @@
         self._addresses[record.key] = address
         self.members.join(record.key, trio.current_time())
         if address != before and record.key in self.members:
-            for tell in self.on_newcomer:
-                tell(record.key)
+            for callback in self.on_newcomer:
+                callback(record.key)
         return address != before
 
     async def register(self, store: StoreClient) -> None:
-        """Tell the other entries, by the store, where this one listens."""
-        own = str(self._cfg.peer_listen).encode()
-        while not await self._put(store, self._cfg.name, own):
+        """Write the address on which this instance listens for peers to the store."""
+        own_address = str(self._cfg.peer_listen).encode()
+        while not await self._put(store, self._cfg.name, own_address):
             await trio.sleep(REGISTER_AGAIN_S)
         self.registered = True
 
     async def withdraw(self, store: StoreClient) -> None:
-        """Take the record of this entry back, as far as the store answers soon.
+        """Remove the record of this instance, unless the store is slow to answer.
 
-        Without that the others share the retry budget with it, and send it
-        words, until they miss it.
+        While the record stays, the peers count this instance in the split of
+        the retry budget and send it messages, until they declare it dead.
         """
         self.registered = False
         with trio.move_on_after(WITHDRAW_S):
             await self._put(store, self._cfg.name, b'')
 
     async def drop_lost(self, store: StoreClient, *, reading: bool) -> None:
-        """Drop the records of entries that nothing is heard of any more, while this entry is ``reading`` the list."""
+        """Remove the records of failed peers, if this instance polls the list of instances for all."""
         self.members.listen(trio.current_time(), reading=reading)
-        for lost in self.members.lost(trio.current_time()):
-            events.log_event(events.ENTRY_LOST, entry=lost.name, silent_s=round(lost.silent_s, 1))
-            if not await self._put(store, lost.name, b''):
+        for failed in self.members.lost(trio.current_time()):
+            events.log_event(events.ENTRY_LOST, entry=failed.name, silent_s=round(failed.silent_s, 1))
+            if not await self._put(store, failed.name, b''):
                 return
 
     async def keep_alive(self) -> None:
-        """Let the reader of the list hear of this entry if nothing else was told, until cancelled."""
-        nothing = msgspec.msgpack.encode(Word(self._cfg.name, (), ()))
+        """Send heartbeats to the instance that polls the list, if nothing else was sent to it, until cancelled."""
+        heartbeat = msgspec.msgpack.encode(Word(self._cfg.name, (), ()))
         while True:
             await trio.sleep(LOOK_S)
-            reader = self.members.untold(trio.current_time())
-            if reader is not None:
-                await self._tell(nothing, reader)
+            poller = self.members.untold(trio.current_time())
+            if poller is not None:
+                await self._tell(heartbeat, poller)
 
     async def listen(self) -> None:
-        """Take in peers' words until cancelled."""
+        """Receive messages from peers until cancelled."""
         await self._network.receive(self._cfg.peer_listen, self.take)
 
     async def tell(self) -> None:
-        """Tell peers of this entry's sends until cancelled."""
+        """Broadcast the sends of this instance until cancelled."""
         while True:
             await self._sends.fresh.wait()
             with trio.move_on_after(LAZY_S):
                 await self._sends.urgent.wait()
             await trio.sleep(GATHER_S)
-            told = self._sends.told
+            announced = self._sends.told
             await self._tell_all(self._sends.drain())
-            told.set()
+            announced.set()
 
     def take(self, datagram: bytes) -> None:
-        """Take in one datagram; one that no entry of ours sends is logged and dropped."""
+        """Decode one datagram and pass its message on; log and drop one that does not decode."""
         try:
-            word = msgspec.msgpack.decode(datagram, type=Word | PeerWord)
+            message = msgspec.msgpack.decode(datagram, type=Word | PeerWord)
         except msgspec.DecodeError as exc:
             events.log_event(events.DATAGRAM_UNREADABLE, cause=str(exc))
             return
-        self._note_heard(word.entry)
-        if isinstance(word, Word):
-            self._sends.heard(word)
-        elif word.entry in self.members:
-            self._take_from_member(word)
+        self._note_heard(message.entry)
+        if isinstance(message, Word):
+            self._sends.heard(message)
+        elif message.entry in self.members:
+            self._take_from_member(message)
 
     async def tell_news(self, news: News) -> None:
-        """Tell all other entries what this one has read in the store."""
+        """Broadcast to all peers what this instance has read in the store."""
         await self.tell_to(self.others(), news)
 
     def others(self) -> list[str]:
-        """Return the names of the other entries."""
+        """Return the names of the peers."""
         return [name for name in self._addresses if name != self._cfg.name]
 
     def address_of(self, entry: str) -> Address | None:
-        """Return where ``entry`` listens for its peers; None if it is not registered."""
+        """Return the address on which a peer listens for its peers; None if it is not registered."""
         return self._addresses.get(entry)
 
     async def tell_to(self, names: Sequence[str], word: PeerWord) -> None:
-        """Tell some entries something."""
+        """Send a message to the peers called ``names``."""
         datagram = msgspec.msgpack.encode(word)
         for name in names:
             await self._tell(datagram, name)
 
     async def tell_notices(self) -> None:
-        """Tell other entries of requests that may end runners, until cancelled."""
+        """Send the messages of the send queue, until cancelled."""
         while True:
-            letters = await self._quarantine.outbox.next_letters()
-            for letter in letters:
-                await self.tell_to([letter.to] if letter.to else self.others(), letter.word)
+            batch = await self._quarantine.outbox.next_letters()
+            for outgoing in batch:
+                await self.tell_to([outgoing.to] if outgoing.to else self.others(), outgoing.word)
 
     def _note_heard(self, entry: str) -> None:
         now = trio.current_time()
@@ -210,18 +212,19 @@
             self.on_word[type(word)](word)
 
     async def _tell_all(self, word: Word) -> None:
-        everything = msgspec.msgpack.encode(word)
+        unfiltered = msgspec.msgpack.encode(word)
         whole = self._known.whole
         for name in self.others():
-            datagram = everything if whole else self._concerning(name, word)
+            datagram = unfiltered if whole else self._concerning(name, word)
             if datagram:
                 await self._tell(datagram, name)
 
     def _concerning(self, peer: str, word: Word) -> bytes:
-        """Return the part of ``word`` that concerns ``peer``, if any.
+        """Encode the sends and ends at engines that ``peer`` uses; return nothing if there are none.
 
-        Told all of each other's sends, 300 entries took in some thousand a
-        second each; an engine's load matters only to those that know it.
+        Without the filter each of 300 instances received about a thousand
+        sends per second. The load of an engine matters only to the instances
+        that use it.
         """
         sends = tuple(send for send in word.sends if self._known.at(peer, send.runner))
         ends = tuple(end for end in word.ends if self._known.at(peer, end.runner))
@@ -238,7 +241,7 @@
     async def _tell(self, datagram: bytes, name: str) -> None:
         address = self._addresses.get(name)
         if address is None:
-            # It has left while others were told.
+            # It was removed while the message was sent to other peers.
             return
         self.members.told(name, trio.current_time())
         try:
@@ -258,11 +261,11 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing: topics are not followed yet."""
+    """Do nothing until the topics are followed."""
 
 
 def _pass_over(_: object) -> None:
-    """Do nothing: nobody takes such words yet, or at all."""
+    """Ignore messages that have no handler."""
 
 
 __all__ = ('Peers',)
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine.py
@@ -1,13 +1,14 @@
-"""Keeping requests that end their runners from further ones, at all entries together.
+"""Quarantine of poison requests (requests that end the runner that runs them), shared by all instances.
 
-Without it a request that ends the engine that runs it was sent to a second one,
-and again by each instance that its caller turned to: four engines ended within half a
-second, with all that they ran, and so on for as long as the caller came back.
+Without a quarantine a poison request was retried at a second engine, and again
+by each instance to which its caller turned: four engines ended within half a
+second, with all requests on them, and this went on while the caller retried.
 
-A request is suspect when a runner has ended under it; so is all that ran beside it,
-and all of it keeps its retry. Under two ends it is sent alone: one send of it at a
-time over all entries, at a runner where no other such send is. If that runner ends too,
-it is quarantined: refused at once, here and everywhere. If it is answered, it is cleared.
+When a runner ends, every request that ran on it becomes suspect; suspects keep
+their retry. A request that ran on two runners that ended is sent as a probe: over
+all instances one send of it at a time, to a runner that runs no other probe. If
+that runner ends too, the request is quarantined and every instance refuses it
+at once. If the request is answered, it is no longer suspect.
 """
 
 from __future__ import annotations
@@ -37,28 +38,28 @@
     Picker = Callable[[Job, Callable[[Start], bool]], str | None]
     Watch = Callable[[str, str, Callable[[], float]], None]
 
-# After it has told that it will try a request an entry listens for so long, in
-# seconds, whether another one was about to: a word takes 5 ms, a busy entry
-# ten times that.
+# After an instance has announced a probe, it waits this long, in seconds, for
+# competing claims: a message takes 5 ms, and ten times that to a busy instance.
 CLAIM_S = 0.05
-# Who waits for a trial to end looks again after this time, in seconds, if nobody
-# tells of its end.
+# A request that waits for a probe to end checks again after this time, in
+# seconds, if no message announces the end.
 LOOK_S = 0.1
-# An entry that has just started holds requests no longer than this, in seconds,
-# until it has read which are quarantined; it reads that with the rest.
+# After its start an instance holds requests no longer than this, in seconds,
+# while it reads the list of quarantined requests, along with the other topics.
 KNOWN_S = 0.5
-# A request that was given up, by its caller or for its runner's silence, is suspect
-# if that runner ends within this time, in seconds. Harmful ones ended their
-# runners 0.05 to 0.15 s after they began to run.
+# A request that was abandoned, because its caller left or its runner was silent,
+# becomes suspect if that runner ends within this time, in seconds. Poison requests
+# ended their runners 0.05 to 0.15 s after they began to run.
 LEFT_S = 0.5
-# Requests given up lately; a burst of callers that leave is some hundred a second.
+# Recently abandoned requests that are kept; in a burst some hundred callers
+# leave per second.
 MAX_LEFT = 256
-# Records that wait for the store; more only pile up while it is away.
+# Records queued for the store; more pile up only while the store is unreachable.
 MAX_WAITING = 64
 
 
 class _Left(NamedTuple):
-    """A send that was given up; ``alone`` if it was a trial."""
+    """Abandoned send; ``alone`` if it was a probe."""
 
     at: float
     content_id: str
@@ -67,14 +68,14 @@
 
 
 class Quarantine:
-    """Decides which requests may be sent, and learns from what becomes of them."""
+    """Decides which requests may be sent, from the outcomes of earlier sends."""
 
     def __init__(self, entry: str) -> None:
-        """Start without suspects, in the name of ``entry``."""
+        """Start without suspects at the instance of the given name."""
         self.suspects = Suspects()
         self.trials = Trials(entry)
         self.outbox = Outbox()
-        # What is to be written to the store; the text is empty for a release.
+        # Records to write to the store, as key and text; an empty text releases the request.
         self.records = trio.open_memory_channel[tuple[str, bytes]](MAX_WAITING)
         # Set while the store lacks records that it once had.
         self.lacking = trio.Event()
@@ -91,7 +92,7 @@
         watch('sesamepoint_quarantined', 'Requests that may not be sent.', lambda: len(suspects.all_quarantined()))
 
     def refuses(self, job: Job) -> bool:
-        """Tell whether ``job`` may not be sent; then its caller is told when its quarantine ends."""
+        """Tell whether ``job`` is quarantined; if so, set when its caller may retry."""
         if not self.suspects.quarantined(job.content_id):
             return False
         job.notes.held_back = Cause.quarantined
@@ -99,12 +100,13 @@
         return True
 
     async def admit(self, job: Job, pick: Picker) -> bool:
-        """Wait until ``job`` may be sent; False if it is refused.
+        """Wait until ``job`` may be sent; return False if it is refused.
 
         Parameters
         ----------
         pick
-            Returns the runner for a trial, of those that a condition allows.
+            Returns a runner for a probe among those that meet a condition; None
+            if there is none.
         """
         if not self._known.is_set():
             with trio.move_on_after(KNOWN_S):
@@ -115,7 +117,7 @@
         return True
 
     def learn(self, job: Job, found: AttemptResult | None) -> None:
-        """Take in what became of a send of ``job``; None if its caller left or it wasn't sent."""
+        """Record the outcome of an attempt of ``job``; None if its caller left or it wasn't sent."""
         for start in job.ended:
             self._note_end(job.content_id, start, alone=job.trial is not None)
         if isinstance(found, Relayed | RunFailed):
@@ -129,37 +131,37 @@
         job.trial = None
 
     def heard(self, notice: Notice) -> None:
-        """Take what another entry told."""
+        """Handle an update from a peer."""
         for content_id, start in notice.ends:
             self.suspects.note_end(content_id, start)
             self._note_left(start)
-        for note in notice.trials:
-            self.trials.note(notice.entry, note.trial, note.state)
+        for probe_update in notice.trials:
+            self.trials.note(notice.entry, probe_update.trial, probe_update.state)
         for content_id in notice.served:
             self.suspects.note_served(content_id)
         for content_id in notice.quarantined:
             self.suspects.quarantine(content_id, trio.current_time())
 
     def tell_newcomer(self, entry: str) -> None:
-        """Tell an entry that has just registered what this one knows."""
-        newest = (
+        """Send the newest suspects and quarantined requests to a peer that has just registered."""
+        newest_ends = (
             EndNote(content_id, start)
             for content_id in reversed(self.suspects.all_suspect())
             for start in self.suspects.starts(content_id)
         )
-        ends = tuple(islice(newest, MAX_ROWS))
-        held = self.suspects.all_quarantined()[-MAX_ROWS:]
-        if ends or held:
-            self.outbox.tell(Notice(self._entry, ends=ends, quarantined=held), entry)
+        ends = tuple(islice(newest_ends, MAX_ROWS))
+        quarantined = self.suspects.all_quarantined()[-MAX_ROWS:]
+        if ends or quarantined:
+            self.outbox.tell(Notice(self._entry, ends=ends, quarantined=quarantined), entry)
 
     def take_records(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the whole list of quarantined requests from the store."""
+        """Apply the whole list of quarantined requests from the store."""
         for record in records:
             self.take_record(record)
         self._known.set()
 
     def take_record(self, record: KeyedRecord) -> bool:
-        """Take the newest word of the store on one request; returns whether it is another one."""
+        """Apply the newest record of one request; return whether its quarantine changed."""
         self._lacking.discard(record.key)
         if not record.text:
             return self.suspects.release(record.key)
@@ -173,20 +175,20 @@
         return bool(starts)
 
     def restore(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Note which records a store that came back from an older copy lacks."""
+        """Note which records are missing in a store that was restored from an older copy."""
         self._lacking = set(self.suspects.all_quarantined()) - {record.key for record in records}
         if self._lacking:
             self.lacking.set()
 
     def write_lacking(self) -> None:
-        """Write again what nobody has written since the store came back."""
+        """Write the missing records that no instance has written since the store was restored."""
         for content_id in self._lacking.intersection(self.suspects.all_quarantined()):
             self._put(content_id, msgspec.json.encode(self.suspects.starts(content_id)))
         self._lacking.clear()
         self.lacking = trio.Event()
 
     def release_lapsed(self) -> None:
-        """End quarantines whose time is over."""
+        """End the quarantines that have expired."""
         for content_id in self.suspects.lapsed(trio.current_time()):
             self._release(content_id, 'its time is over')
 
@@ -201,25 +203,25 @@
         return False
 
     async def _claim(self, job: Job, pick: Picker) -> bool:
-        """Try to have a trial of ``job``; False if its state has to be looked at anew."""
+        """Try to claim a probe of ``job``; return False if its state has to be checked again."""
         runner = None if self.trials.tried(job.content_id) else pick(job, self._allows)
         if runner is None:
             with trio.move_on_after(LOOK_S):
                 await self.trials.changed.wait()
             return False
-        trial = Trial(job.content_id, runner)
-        self._tell(trial, TrialState.claimed)
+        probe = Trial(job.content_id, runner)
+        self._tell(probe, TrialState.claimed)
         try:
             await trio.sleep(CLAIM_S)
         except BaseException:
             # Its caller has left.
-            self._tell(trial, TrialState.ended)
+            self._tell(probe, TrialState.ended)
             raise
-        if not self.trials.won(trial) or self.suspects.quarantined(job.content_id):
-            self._tell(trial, TrialState.ended)
+        if not self.trials.won(probe) or self.suspects.quarantined(job.content_id):
+            self._tell(probe, TrialState.ended)
             return False
-        job.trial = trial
-        self._tell(trial, TrialState.sent)
+        job.trial = probe
+        self._tell(probe, TrialState.sent)
         ends = self.suspects.ends(job.content_id)
         events.log_event(
             events.TRIAL_BEGUN,
@@ -231,7 +233,7 @@
         return True
 
     def _allows(self, start: Start) -> bool:
-        """Tell whether a trial may go to a runner: it is up, and no other trial is there."""
+        """Tell whether a probe may go to a runner: the runner has not ended and runs no other probe."""
         return not self.suspects.has_ended(start) and not self.trials.taken(start.runner)
 
     def _tell(self, trial: Trial, state: TrialState) -> None:
@@ -239,7 +241,7 @@
         self.outbox.tell(Notice(self._entry, trials=(TrialNote(trial, state),)))
 
     def _note_end(self, content_id: str, start: Start, *, alone: bool) -> None:
-        """Count the end of a runner; what was ``alone`` there has caused it."""
+        """Count the end of a runner against a request; quarantine the request if it ran there ``alone``."""
         ends = self.suspects.note_end(content_id, start)
         self.outbox.tell(Notice(self._entry, ends=(EndNote(content_id, start),)))
         events.log_event(events.RUNNER_ENDED, content=content_id, runner=start.runner, alone=alone, runners_ended=ends)
@@ -248,22 +250,23 @@
         self._note_left(start)
 
     def _note_left(self, start: Start) -> None:
-        """Count the end of a runner against what was given up there just before.
+        """Count the end of a runner against the requests that were abandoned there just before.
 
-        Its connection was closed by then, so that nobody saw it break. Callers
-        that leave early, and come back, would have it sent on and on.
+        Their connections were closed by then, so their attempts did not fail.
+        Without this, a poison request whose callers leave early and retry
+        would be sent again and again.
         """
         since = trio.current_time() - LEFT_S
-        found = [one for one in self._left if one.start == start and one.at >= since]
-        for one in found:
-            self._left.remove(one)
-        for one in found:
-            self._note_end(one.content_id, start, alone=one.alone)
+        abandoned = [send for send in self._left if send.start == start and send.at >= since]
+        for send in abandoned:
+            self._left.remove(send)
+        for send in abandoned:
+            self._note_end(send.content_id, start, alone=send.alone)
 
     def _note_served(self, job: Job) -> None:
         content_id = job.content_id
         if self.suspects.quarantined(content_id):
-            # It was on its way when another send of it ended its runner.
+            # It was already sent when another send of it ended its runner.
             self._release(content_id, 'it was answered')
         if self.suspects.note_served(content_id):
             self.outbox.tell(Notice(self._entry, served=(content_id,)))
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine_records.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine_records.py
@@ -1,4 +1,4 @@
-"""Keeping the list of quarantined requests in the platform's store."""
+"""Writer of the list of quarantined requests in the platform's store."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from sesamepoint.front.quarantine import Quarantine
     from sesamepoint.platform.store import StoreClient
 
-# How often quarantines are looked through for those that are over, in seconds.
+# How often expired quarantines are looked for, in seconds.
 LAPSE_S = 60.0
-# What the store has lost is written again within this time, in seconds, drawn by
-# each entry for itself.
+# Each instance draws a delay up to this, in seconds, before it writes the records
+# that the store has lost.
 RESTORE_SPREAD_S = 5.0
-# Pause before a record that was not written is written again, in seconds.
+# Pause before a failed write is repeated, in seconds.
 WRITE_AGAIN_S = 1.0
 
 
 class QuarantineRecords:
-    """Writes what this entry finds out, for entries that start later."""
+    """Writes quarantined requests to the store, for instances that start later."""
 
     def __init__(self, quarantine: Quarantine, client: StoreClient, rng: Random) -> None:
         """Write for ``quarantine`` to the store that ``client`` calls."""
@@ -41,10 +41,10 @@
                 await trio.sleep(WRITE_AGAIN_S)
 
     async def restore(self) -> None:
-        """Write again what a store that went back has lost, until cancelled.
+        """Write the records that a store restored from an older copy has lost, until cancelled.
 
-        All entries know it, and one record is enough: the first one's is heard
-        of by the others before their time has come.
+        All instances hold these records, and one write of each is enough: after
+        the random delay most instances have already received the first write.
         """
         while True:
             await self._quarantine.lacking.wait()
@@ -52,7 +52,7 @@
             self._quarantine.write_lacking()
 
     async def end_lapsed(self) -> None:
-        """End quarantines whose time is over, until cancelled."""
+        """End the quarantines that have expired, until cancelled."""
         while True:
             await trio.sleep(LAPSE_S)
             self._quarantine.release_lapsed()
--- a/packages/sesamepoint/src/sesamepoint/front/trials.py
+++ b/packages/sesamepoint/src/sesamepoint/front/trials.py
@@ -1,4 +1,4 @@
-"""Which requests are sent alone at the moment, here and at the other entries."""
+"""Probes: suspect requests that are sent alone to a runner, by this instance or a peer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from sesamepoint_core.serving.suspects import Name
 
-# Word of a trial counts for this long, in seconds, if no end of it is heard: an
-# entry that has died must not keep a request waiting. Callers wait for 3 to 5 s.
+# A claim expires after this long, in seconds, if its end is not announced: an
+# instance that has died must not keep a request waiting. Callers wait for 3 to 5 s.
 BELIEVED_S = 5.0
 
 
 class TrialState(StrEnum):
-    """How far a trial is."""
+    """State of a probe."""
 
     claimed = 'claimed'
     sent = 'sent'
@@ -23,7 +23,7 @@
 
 
 class Trial(NamedTuple):
-    """One request that is sent to one runner alone."""
+    """A suspect request and the runner that runs it alone."""
 
     content_id: Name
     runner: Name
@@ -35,20 +35,20 @@
 
 
 class Trials:
-    """One trial of a request at a time, and one at a runner.
+    """Claims of probes: at most one probe per request and one per runner at a time.
 
-    Two requests that are tried at one runner would share its end, and a sound
-    one would be taken for the other.
+    If two requests were probed at one runner, its end would count against both,
+    and a harmless one would be quarantined.
     """
 
     def __init__(self, entry: str) -> None:
-        """Know of none; ``entry`` is this one's name."""
+        """Start without claims at the instance of the given name."""
         self.changed = trio.Event()
         self._entry = entry
         self._claims: dict[tuple[str, Trial], _Claim] = {}
 
     def note(self, entry: str, trial: Trial, state: TrialState) -> None:
-        """Note how far the trial of an entry is."""
+        """Note the state of a probe of this instance or a peer."""
         if state is not TrialState.ended:
             self._claims[entry, trial] = _Claim(trio.current_time(), state is TrialState.sent)
             return
@@ -57,31 +57,32 @@
         self.changed = trio.Event()
 
     def tried(self, content_id: str) -> bool:
-        """Tell whether any entry tries a request, or is about to."""
+        """Tell whether any instance probes a request, or has claimed to."""
         self._forget()
-        return any(trial.content_id == content_id for _, trial in self._claims)
+        return any(probe.content_id == content_id for _, probe in self._claims)
 
     def taken(self, runner: str) -> bool:
-        """Tell whether anything is tried at ``runner``, or about to be."""
+        """Tell whether any request is probed at ``runner``, or claimed to be."""
         self._forget()
-        return any(trial.runner == runner for _, trial in self._claims)
+        return any(probe.runner == runner for _, probe in self._claims)
 
     def won(self, own: Trial) -> bool:
-        """Tell whether this entry's claim goes first of those in its way.
+        """Tell whether this instance's claim precedes all conflicting ones.
 
-        One that has been sent goes before all; of the others, the least name.
+        A probe that was sent precedes all claims; otherwise the least instance
+        name wins.
         """
         self._forget()
         return not any(
-            claim.sent or (entry, trial) < (self._entry, own)
-            for (entry, trial), claim in self._claims.items()
-            if (entry, trial) != (self._entry, own) and _in_the_way(trial, own)
+            claim.sent or (instance, probe) < (self._entry, own)
+            for (instance, probe), claim in self._claims.items()
+            if (instance, probe) != (self._entry, own) and _in_the_way(probe, own)
         )
 
     def _forget(self) -> None:
         since = trio.current_time() - BELIEVED_S
-        old = [key for key, claim in self._claims.items() if claim.at < since]
-        for key in old:
+        expired = [key for key, claim in self._claims.items() if claim.at < since]
+        for key in expired:
             self._claims.pop(key)
 
 
