--- a/packages/sesamepoint/src/sesamepoint/front/following.py
+++ b/packages/sesamepoint/src/sesamepoint/front/following.py
@@ -1,4 +1,4 @@
-"""The parts of a front that keep it in step with the store and the other entries."""
+"""Tasks of an instance that synchronize it with the store and its peers."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
     from sesamepoint.front.settings import FrontSettings
     from sesamepoint.http1.transport import Network
 
-# A stop waits no longer than this, in seconds, until its counts and its duty are
-# left to the others.
+# A stop waits no longer than this, in seconds, for the last usage counts to be
+# sent and the duty to be released.
 LAST_WORD_S = 0.2
 
 
 class Following:
-    """Reads and writes the store; all its calls share what is known of the store's era."""
+    """Reads and writes the store; all its clients share the known epoch of the store."""
 
     def __init__(
         self, cfg: FrontSettings, beliefs: Beliefs, network: Network, rng: Random, clock: Clock | None
     ) -> None:
-        """Put the parts together without starting them; without a clock the machine's own is used."""
+        """Create the parts without starting them; ``clock`` defaults to the system clock."""
         peers = beliefs.peers
         new_client = partial(StoreClient, cfg.store.address, network, StoreEra())
         self._own = OwnRecord(cfg.name, peers, new_client)
@@ -55,11 +55,11 @@
         if cfg.duty is not None:
             self._reporting = Reporting(cfg.duty, peers, new_client(), network, clock or SystemClock(), rng)
             beliefs.dispatcher.on_run = self._reporting.note_run
-        # What other entries may ask this one for.
+        # Pages that peers may request from this instance.
         self.pages = Pages({CONFIGURATION_PATH: Page(self._peers_cfg.page, self._peers_cfg.there)})
 
     def children(self) -> list[Child]:
-        """Return the parts that run."""
+        """Return the tasks to run."""
         intake = self._intake
         return [
             Child('configuration', intake.follow_configuration),
@@ -78,11 +78,11 @@
         ]
 
     def reconfigure(self, cfg: FrontSettings) -> None:
-        """Work by changed settings from now on."""
+        """Apply changed settings."""
         self._intake.reconfigure(cfg)
 
     async def withdraw(self) -> None:
-        """Leave the list of entries: this one is about to stop."""
+        """Hand over the duty and remove the record of this instance, which is about to stop."""
         if self._reporting:
             with trio.move_on_after(LAST_WORD_S):
                 await self._reporting.wind_down()
--- a/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
@@ -1,9 +1,10 @@
-"""Getting a newer configuration from another entry.
+"""Exchange of configurations between instances: version comparison, page and fetch.
 
-The store may refuse some entries for seconds, or show an older configuration
-to one that has just started, after it came back from a copy. Keys that were taken
-went on being served there, and new ones were denied. An entry that hears of a
-newer version asks who told of it. Keys go over as digests.
+The store may refuse some instances for seconds or, after it was restored from
+an older copy, return an older configuration to an instance that has just
+started. Such instances went on serving revoked keys and denied new ones. So an
+instance that learns of a newer version fetches the configuration from the peer
+that announced it. Keys are transferred as digests.
 """
 
 from __future__ import annotations
@@ -31,26 +32,27 @@
 
 CONFIGURATION_PATH = '/configuration'
 STATUS_OK = 200
-# A whole configuration, over a link of 10 Mbit a second, in seconds: of 10,000
-# keys it is 0.6 MB.
+# Timeout of a fetch, in seconds: a configuration with 10,000 keys is 0.6 MB, and
+# the link may carry only 10 Mbit/s.
 FETCH_S = 1.5
 CONNECT_S = 0.5
-# Entries to ask that wait; whoever comes after them knows no more.
+# Peers in the fetch queue; further peers would have no newer configuration.
 MAX_WAITING = 4
-# Each entry tells one other its version after so many seconds, drawn from this
-# span: whoever has started or missed a word learns of a newer one.
+# Each instance sends its version to one peer after a pause drawn from these ranges,
+# in seconds: so an instance that has just started or missed a message learns of a
+# newer version.
 FIRST_COMPARE_SPAN_S = (0.2, 0.6)
 COMPARE_SPAN_S = (5.0, 10.0)
-# The first comparisons follow each other sooner: a newcomer's first peer may be
-# as new.
+# Number of comparisons after a start that follow each other faster: the first
+# peer may have started just now as well.
 FIRST_COMPARES = 3
 
 
 class PeerConfiguration:
-    """Serves the configuration in force, and asks others for theirs."""
+    """Serves the configuration in force to peers, and fetches newer ones from them."""
 
     def __init__(self, intake: Intake, peers: Peers, network: Network, rng: Random) -> None:
-        """Serve what ``intake`` has put in force; let it take what is newer at ``peers``."""
+        """Serve the configuration that ``intake`` has in force, and pass newer ones of ``peers`` to it."""
         self._intake = intake
         self._peers = peers
         self._network = network
@@ -58,44 +60,44 @@
         self._wanted = trio.open_memory_channel[str](MAX_WAITING)
 
     def page(self) -> bytes:
-        """Return the configuration in force as entries give it to each other."""
+        """Encode the configuration in force for peers."""
         return msgspec.msgpack.encode(self._intake.in_force)
 
     def there(self) -> bool:
-        """Tell whether there is one to give."""
+        """Tell whether a configuration is in force."""
         return self._intake.in_force is not None
 
     def ask(self, entry: str) -> None:
-        """Have ``entry`` asked for its configuration soon."""
+        """Queue a fetch of a peer's configuration."""
         try:
             self._wanted[0].send_nowait(entry)
         except trio.WouldBlock:
-            # Four are about to be asked.
+            # The queue is full; see its bound.
             return
 
     def heard(self, note: VersionNote) -> None:
-        """Ask an entry that has a newer version, and tell one that has an older one."""
-        own = self._version()
-        if own < note.version:
+        """Fetch from a peer that has a newer version; send the own version to one that has an older one."""
+        own_version = self._version()
+        if own_version < note.version:
             self.ask(note.entry)
-        elif own > note.version:
+        elif own_version > note.version:
             self._tell(note.entry)
 
     async def compare(self) -> None:
-        """Tell one other entry after the other which version is in force here, until cancelled."""
+        """Send the version in force here to one random peer at a time, until cancelled."""
         for compared in count():
             span_s = FIRST_COMPARE_SPAN_S if compared < FIRST_COMPARES else COMPARE_SPAN_S
             await trio.sleep(self._rng.uniform(*span_s))
-            others = self._peers.others()
-            if others:
-                self._tell(self._rng.choice(others))
+            peers = self._peers.others()
+            if peers:
+                self._tell(self._rng.choice(peers))
 
     async def run(self) -> None:
-        """Ask, one after the other, until cancelled."""
-        async for entry in self._wanted[1]:
-            address = self._peers.address_of(entry)
+        """Fetch from the queued peers, one after the other, until cancelled."""
+        async for peer in self._wanted[1]:
+            address = self._peers.address_of(peer)
             if address is not None:
-                await self._fetch(entry, address)
+                await self._fetch(peer, address)
 
     def _version(self) -> int:
         cfg = self._intake.in_force
--- a/packages/sesamepoint/src/sesamepoint/front/peer_network.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_network.py
@@ -1,4 +1,4 @@
-"""Datagrams between entries, over sockets or stand-ins."""
+"""Datagrams between instances: the network protocol and its socket implementation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from sesamepoint.http1.pacing import LinkPacer
 
 DATAGRAM_BYTES = 65536
-# Headers of a datagram on the link.
+# Ethernet, IP and UDP headers of a datagram, which count on the link as well.
 PACKET_BYTES = 42
 
 
@@ -22,22 +22,28 @@
     """Sends and receives datagrams; they may get lost."""
 
     async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Hand each datagram that comes to ``address`` to ``take``, until cancelled."""
+        """Call the callback with each datagram that arrives at ``address``, until cancelled."""
 
     async def send(self, datagram: bytes, address: Address) -> None:
-        """Send one datagram, or raise an ``OSError``."""
+        """Send one datagram.
+
+        Raises
+        ------
+        OSError
+            If the datagram can't be sent.
+        """
 
 
 class SocketPeerNetwork:
-    """Datagrams over one socket; nothing is sent before it is bound."""
+    """Datagrams over one UDP socket; datagrams sent before it is bound are dropped."""
 
     def __init__(self, pacer: LinkPacer) -> None:
-        """Bind nothing yet; ``pacer`` keeps a word to all from filling the link."""
+        """Create an unbound network; ``pacer`` keeps broadcasts from filling the link."""
         self._pacer = pacer
         self._sock: trio.socket.SocketType | None = None
 
     async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Hand each datagram that comes to ``address`` to ``take``, until cancelled."""
+        """Call the callback with each datagram that arrives at ``address``, until cancelled."""
         with trio.socket.socket(type=trio.socket.SOCK_DGRAM) as sock:
             await sock.bind(address)
             self._sock = sock
@@ -45,7 +51,13 @@
                 take(await sock.recv(DATAGRAM_BYTES))
 
     async def send(self, datagram: bytes, address: Address) -> None:
-        """Send one datagram, or raise an ``OSError``."""
+        """Send one datagram, at the rate that the pacer allows.
+
+        Raises
+        ------
+        OSError
+            If the datagram can't be sent.
+        """
         if self._sock is not None:
             await self._pacer.take(len(datagram) + PACKET_BYTES)
             await self._sock.sendto(datagram, address)
--- a/packages/sesamepoint/src/sesamepoint/front/watch.py
+++ b/packages/sesamepoint/src/sesamepoint/front/watch.py
@@ -1,4 +1,4 @@
-"""Following a keyed topic of the platform's store, by turns with the other entries."""
+"""Follower of a keyed topic of the platform's store, which shares the polling with its peers."""
 
 from __future__ import annotations
 
@@ -22,22 +22,24 @@
     from sesamepoint.front.reading_turns import Pacing
     from sesamepoint.platform.store import KeyedRecord, Newest, StoreClient
 
-# Pause before a failed call is repeated, drawn from this span in seconds so
-# that entries do not come back to a recovering store all at once.
+# Range of the random pause before a failed call is repeated, in seconds: spreads
+# the load on a store that recovers.
 RETRY_SPAN_S = (0.1, 0.4)
-# How long a call for a whole topic may take, in turn, in seconds. A store that
-# was silent stays so on calls from before it came back (with 1 s each, entries
-# that had lost their list knew the runners 0.3 to 0.6 s after its return): a
-# short wait finds it sooner, a long one in turn finds a store that is only slow.
+# Timeouts of calls for a whole topic, used in turn, in seconds. A store that was
+# down never answers calls from before its recovery, so a short timeout detects
+# the recovery sooner; the longer one copes with a slow store. With 1 s for each
+# call, instances that had lost their list had the runners 0.3 to 0.6 s after
+# the recovery.
 FIRST_CALL_S = (0.5, 1.0)
-# The first call that follows may be held for so long, in seconds: nobody waits
-# for word of it.
+# How long the store may hold the first follow call, in seconds; peers don't
+# depend on its answer.
 FIRST_WAIT_S = 1.0
-# After the store came back from an older copy, in seconds: so long does it take
-# until all who live have written again what the copy lacks, and the records of
-# those that had ended before have lapsed once more (three heartbeats of 1.2 s).
+# Settling time after the store was restored from an older copy, in seconds. By
+# its end all live instances and runners have written again what the copy lacks,
+# and the records of those that had ended have expired again (three heartbeats of
+# 1.2 s).
 SETTLE_S = 6.0
-# Entries then read the whole topic within so many seconds, one after the other.
+# Instances then read the whole topic at random times within this many seconds.
 SETTLE_SPREAD_S = 1.0
 
 
@@ -46,20 +48,20 @@
 
 
 class Taker(NamedTuple):
-    """What to do with records.
+    """Callbacks for the records of a topic.
 
     Parameters
     ----------
     replace_all
-        Takes the whole topic.
+        Replaces the local state by the whole topic.
     update
-        Takes a record; returns whether it changed what is believed.
+        Applies one record; returns whether it changed the local state.
     restore
-        Gets the whole topic as a store that went back has it, to write again
-        what is missing and ours.
-    ask
-        Gets the name of an entry that has read what the store does not give to
-        this one; None where words of peers tell all there is.
+        Receives the whole topic of a store that was restored from an older
+        copy, to write this instance's missing records again.
+    request_from
+        Called with the name of a peer to request records from that the store
+        does not return to this instance; None if updates contain all records.
     """
 
     replace_all: Callable[[tuple[KeyedRecord, ...]], None]
@@ -69,21 +71,21 @@
 
     @property
     def private(self) -> bool:
-        """Tell whether records are in no word to peers; these ask for them, or read."""
+        """Tell whether updates omit the records; peers then request them or poll the store."""
         return self.ask is not None
 
 
 class Others(NamedTuple):
-    """The other entries.
+    """This instance and the peers with which it shares the polling.
 
     Parameters
     ----------
     name
-        The name of this entry.
-    entries
-        Returns how many entries there are, this one included.
-    tell
-        Tells all others.
+        The name of this instance.
+    instance_count
+        Returns the number of instances, including this one.
+    broadcast
+        Sends an update to all peers.
     """
 
     name: str
@@ -92,17 +94,17 @@
 
 
 class Watch:
-    """Reads a topic whole, then follows it; starts over if history is gone.
+    """Reads a whole topic, then follows its changes; starts over if the history is gone.
 
-    If the store has come back from an older copy, what is believed stays, and
-    only what is written from then on counts, until all is settled: the copy
-    lacks runners that live, and shows such as have left.
+    After the store was restored from an older copy, the local state stays and
+    only new records are applied until the settling time is over: the copy lacks
+    some live runners, and contains some that have ended.
     """
 
     def __init__(
         self, store: StoreClient, topic: str, pacing: Pacing, taker: Taker, others: Others, rng: Random
     ) -> None:
-        """Follow ``topic`` at the rate of ``pacing``, by turns with ``others``."""
+        """Follow ``topic`` at the rate of ``pacing``, in turn with the peers."""
         self._store = store
         self._topic = topic
         self._wait_s = pacing.wait_s
@@ -116,14 +118,14 @@
         self._followed = False
         self._era = 0
         self._believes = False
-        # When a new history is settled; never if no settling is under way.
+        # End of the settling time; infinite if the store is settled.
         self._settles_at = math.inf
         self.apart = ToldApart()
-        # Who has told last of something that has to be read.
+        # The sender of the latest update that lacked its records.
         self._teller = ''
 
     async def run(self) -> None:
-        """Hand on the whole topic, then each record, until cancelled."""
+        """Apply the whole topic, then each change, until cancelled."""
         while True:
             await self._until_due()
             try:
@@ -137,9 +139,9 @@
             self._note_era()
 
     def hear(self, news: News) -> None:
-        """Take what a peer has read."""
+        """Handle an update from a peer."""
         if news.era < self._era:
-            # It was read before the store went back.
+            # It is from before the store was restored.
             return
         due = self.turns.due
         now = trio.current_time()
@@ -154,7 +156,7 @@
             self._sooner.set()
 
     def look_soon(self) -> None:
-        """Read the store oneself soon."""
+        """Poll the store from this instance soon."""
         self.turns.hint(trio.current_time())
         self._sooner.set()
 
@@ -175,43 +177,43 @@
         start = self.turns.end
         if start is None:
             return await self._list()
-        found = await self._store.follow(self._topic, start, self._wait_s if self._followed else FIRST_WAIT_S)
-        if found.era == self._era:
+        changes = await self._store.follow(self._topic, start, self._wait_s if self._followed else FIRST_WAIT_S)
+        if changes.era == self._era:
             self._followed = True
-            self._note_reached(found)
-            await self._take(start, found)
+            self._note_reached(changes)
+            await self._take(start, changes)
 
     async def _list(self) -> None:
-        found = await self._store.newest(self._topic, next(self._patience_s))
+        listing = await self._store.newest(self._topic, next(self._patience_s))
         self._note_era()
-        self._note_reached(found)
+        self._note_reached(listing)
         if self._settling():
-            self._taker.restore(found.records)
+            self._taker.restore(listing.records)
         else:
-            self._taker.replace_all(found.records)
+            self._taker.replace_all(listing.records)
             self._believes = True
-        self.turns.listed(found.end, trio.current_time())
+        self.turns.listed(listing.end, trio.current_time())
         self._followed = False
 
     async def _take(self, start: int, found: Newest) -> None:
-        # Peers may have told more while the store answered.
+        # Peers may have sent later updates while the store answered.
         known = max(start, self.turns.end or 0)
         changed = self._update(Place(found.era, found.end), found.records if found.end >= known else ())
         if self.turns.read(found.end, trio.current_time()) and found.end >= known:
-            told = tellable(changed, private=self._taker.private)
-            await self._others.tell(News(self._others.name, self._topic, known, found.end, told, found.era))
+            records = tellable(changed, private=self._taker.private)
+            await self._others.tell(News(self._others.name, self._topic, known, found.end, records, found.era))
 
     def _update(self, place: Place, records: tuple[KeyedRecord, ...]) -> dict[str, KeyedRecord]:
         changed: dict[str, KeyedRecord] = {}
         for record in self.apart.current(place, records):
             # A key that changed and changed back counts too: a peer may have
-            # heard of the first and not of the second.
+            # received the first change and not the second.
             if self._taker.update(record) or record.key in changed:
                 changed[record.key] = record
         return changed
 
     def _hear_unread(self, news: News, now: float) -> None:
-        """Hear that there is more than a word can tell."""
+        """Handle an update that lacks its records or is of a newer epoch of the store."""
         known = self.turns.end
         if news.era > self._era or (known is not None and known < news.end):
             self._teller = news.entry
@@ -224,7 +226,7 @@
                 self._taker.update(record)
 
     def _ask_teller(self) -> None:
-        """Have a peer give what the store does not."""
+        """Request the records that the store does not return from the sender of the update."""
         if self._taker.ask and self._teller:
             self._taker.ask(self._teller)
             self._teller = ''
@@ -233,17 +235,17 @@
         return self._settles_at < math.inf
 
     def _note_era(self) -> None:
-        """Begin with a new history of the store, if it has one."""
-        era = self._store.era.known
-        if era == self._era:
+        """Start over if the epoch of the store has changed."""
+        epoch = self._store.era.known
+        if epoch == self._era:
             return
         if self._era:
             events.log_event(
-                events.STORE_WENT_BACK, topic=self._topic, era=era, era_before=self._era, end_before=self.turns.end
+                events.STORE_WENT_BACK, topic=self._topic, era=epoch, era_before=self._era, end_before=self.turns.end
             )
         if self._era and self._believes:
             self._settles_at = trio.current_time() + SETTLE_S + self._rng.uniform(0, SETTLE_SPREAD_S)
-        self._era = era
+        self._era = epoch
         self.turns.forget()
 
     def _note_reached(self, found: Newest) -> None:
