--- a/packages/sesamepoint/src/sesamepoint/front/duty.py
+++ b/packages/sesamepoint/src/sesamepoint/front/duty.py
@@ -1,4 +1,4 @@
-"""Holding the duty: the lease in the store, and the reports on use."""
+"""The duty to report usage: its lease in the store, and the reports of the lease holder."""
 
 from __future__ import annotations
 
@@ -30,36 +30,39 @@
     from sesamepoint.http1.transport import Network
     from sesamepoint.platform.store import StoreClient
 
-# How often the holder renews its lease, in seconds, and tries again when it failed.
+# How often the holder renews its lease, and retries a failed renewal, in seconds.
 RENEW_S = 0.7
 RENEW_AGAIN_S = 0.3
-# A claim waits so much longer than no two holders may take turns, in seconds: a
-# call that a holder began in time is over, or broken, by then.
+# Added to the least time between two holders before a claim, in seconds: a call
+# that the previous holder began in time has ended or broken by then.
 CLAIM_MARGIN_S = 0.5
-# A call with a report takes no longer, in seconds; it begins only if the lease
-# lasts until it must be over.
+# Timeout of a call that sends a report, in seconds; a call begins only if the
+# lease is valid until the timeout.
 CALL_S = 0.8
 CONNECT_S = 0.4
 CALL_AGAIN_S = 0.3
-# How often the holder looks what there is to do, in seconds.
+# How often the holder checks for a window to report, in seconds.
 LOOK_S = 0.1
-# The holder says that it is there after so many seconds, or so many for each
-# entry, whichever is more: its words take a link of 10 Mbit/s a hundredth.
+# The holder announces itself after this many seconds, or after the second figure
+# times the number of instances if that is more: so its announcements take a
+# hundredth of a link of 10 Mbit/s.
 SAY_EVERY_S = 1.0
 SAY_EVERY_PEER_S = 0.01
-# After so many words have stayed away the others look for a new holder, one
-# after the other within so many seconds.
+# After this many missed announcements the peers try to become the holder, each
+# after a delay drawn from the range, in seconds.
 WORDS_MISSED = 2.5
 SEEK_SPAN_S = (0.1, 1.0)
-# If the store does not answer they look again after so many seconds.
+# Range of the random pause before they retry if the store does not answer, in
+# seconds.
 LOOK_AGAIN_SPAN_S = (1.0, 3.0)
-# At the start they wait for word of a holder first.
+# Range of the random time for which an instance waits for an announcement at its
+# start, in seconds.
 START_SPAN_S = (1.0, 2.0)
-# Instances that have not told their counts are asked again after this time.
+# How often missing counts are requested from peers, in seconds.
 ASK_AGAIN_S = 0.5
-# Who was not heard for so long, in seconds, is not waited for: an instance that is
-# gone stays on the list for longer than reports have. Who lives tells its counts of
-# each window.
+# A report does not wait for the counts of an instance from which nothing was
+# received for this long, in seconds: a failed instance stays on the list beyond the
+# time by which a report is due. A live instance sends its counts of each window.
 SILENT_S = 8.0
 STATUS_OK = 200
 STATUS_TOO_MANY = 429
@@ -67,7 +70,7 @@
 
 
 class DutyTools(NamedTuple):
-    """What holding the duty needs of the rest of the front."""
+    """Parts of the front that the duty uses."""
 
     peers: Peers
     counts: UsageCounts
@@ -80,10 +83,10 @@
 
 
 class Duty:
-    """Takes the duty if nobody has it, and reports while it is held."""
+    """Claims the lease of the duty if no instance holds it, and reports usage while it is held."""
 
     def __init__(self, cfg: DutySettings, tools: DutyTools) -> None:
-        """Hold nothing yet."""
+        """Start without the lease."""
         self._cfg = cfg
         self._tools = tools
         self._name = tools.peers.name
@@ -93,23 +96,23 @@
         self._tallies = Tallies()
         self._quiet_until = tools.clock.steady() + tools.rng.uniform(*START_SPAN_S)
         self._log = DutyLog(self._lease, tools.store, tools.clock)
-        # Held while this instance acts: the duty is given back between two acts.
+        # Held during each step of a report, so that the duty is released only between two steps.
         self._acting = trio.Lock()
         self._said_at: float = 0
         self._asked_at: float = 0
 
     def held(self) -> bool:
-        """Tell whether this instance may act."""
+        """Tell whether this instance holds a valid lease."""
         return self._lease.valid(self._clock.steady())
 
     def heard_holder(self, word: DutyWord) -> None:
-        """Take the word of a holder."""
+        """Handle an announcement of a holder."""
         self._tools.counts.heard(word)
         now = self._clock.steady()
         self._quiet_until = now + WORDS_MISSED * self._say_every_s() if word.held else now
 
     def heard_usage(self, word: UsageWord) -> None:
-        """Take counts of another entry."""
+        """Handle usage counts from a peer."""
         if word.window < self._reports.next_window:
             return
         source = Source(word.entry, word.start)
@@ -118,7 +121,7 @@
             self._tallies.close(source, word.window, word.part, word.parts)
 
     async def hold(self) -> None:
-        """Keep the lease, or take it if nobody else does, until cancelled."""
+        """Renew the lease, or claim it if no other instance holds it, until cancelled."""
         while True:
             if self._lease.fence is None:
                 await self._seek()
@@ -126,7 +129,7 @@
                 await self._renew()
 
     async def report(self) -> None:
-        """Report each window in its time while the lease is held, until cancelled."""
+        """Report each window when it is due while the lease is held, until cancelled."""
         while True:
             await trio.sleep(LOOK_S)
             async with self._acting:
@@ -135,7 +138,7 @@
                     await self._step()
 
     async def give_back(self) -> None:
-        """Let another entry take the duty at once: this one is about to stop."""
+        """Release the lease, so that a peer can claim it at once; this instance is about to stop."""
         async with self._acting:
             if self._lease.fence is not None:
                 holding = msgspec.structs.replace(self._lease.next_holding(), holder='')
@@ -144,7 +147,7 @@
                 await self._say(held=False)
 
     async def _seek(self) -> None:
-        """Claim the lease if no holder is heard and the log stays as it is."""
+        """Claim the lease if no holder announces itself and the log does not change."""
         while self._clock.steady() < self._quiet_until:
             await trio.sleep(LOOK_S)
         await trio.sleep(self._tools.rng.uniform(*SEEK_SPAN_S))
@@ -154,7 +157,7 @@
         if await self._log.look():
             await self._claim_or_wait(read_at)
         else:
-            # All look at the same time; whoever held the lease renews it first.
+            # All instances retry at the same time; the holder renews its lease before that.
             await trio.sleep(self._tools.rng.uniform(*LOOK_AGAIN_SPAN_S))
 
     async def _claim_or_wait(self, read_at: float) -> None:
@@ -198,7 +201,7 @@
             await self._ask(missing)
 
     async def _decide(self, window: int, missing: list[str]) -> None:
-        """Keep the report in the store: whoever holds the duty after this one sends the same."""
+        """Write the report to the store, so that the next holder sends the same report."""
         counts = self._tools.counts
         self._tallies.add(Source(counts.entry, counts.start), window, self._tools.meter.counts(window).items())
         total = self._tallies.total(window)
@@ -212,7 +215,7 @@
             return
         await trio.sleep(RENEW_AGAIN_S)
         if await self._log.look() and self._log.report is not None and self._log.report.window == window:
-            # It was taken, and its answer lost.
+            # The record was accepted, and the answer of the store was lost.
             self._reports.decided(self._log.report)
 
     async def _send(self, report: Report) -> None:
@@ -230,11 +233,11 @@
         elif status == STATUS_TOO_MANY or status >= FIRST_FAILURE or not status:
             await trio.sleep(CALL_AGAIN_S)
         else:
-            # It would say the same again.
+            # Another attempt would get the same answer.
             self._reports.done()
 
     async def _try_post(self, report: Report, fence: int) -> int:
-        """Send a report and return the status of the answer; 0 if none came in time."""
+        """Send a report and return the status code of the response; 0 if there was none in time."""
         status = 0
         try:
             with trio.fail_after(CALL_S):
@@ -266,7 +269,7 @@
             await self._say(held=True)
 
     async def _say_left(self) -> None:
-        """Let the others look for a new holder as soon as this one may not act any more."""
+        """Announce that the lease is lost, so that the peers seek a new holder at once."""
         if not self.held() and self._said_at:
             await self._say(held=False)
             self._said_at = 0
--- a/packages/sesamepoint/src/sesamepoint/front/duty_log.py
+++ b/packages/sesamepoint/src/sesamepoint/front/duty_log.py
@@ -1,4 +1,4 @@
-"""The log of the duty in the platform's store: who holds it, and the newest report."""
+"""Log of the duty in the platform's store: the lease and the newest usage report."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Appending(enum.Enum):
-    """What became of a record; one that is unanswered may be there, or come to be there."""
+    """Outcome of an append; an unanswered record may be in the log, or get there later."""
 
     taken = 'taken'
     refused = 'refused'
@@ -32,11 +32,11 @@
 
 
 class DutyLog:
-    """Reads and appends for one lease, and keeps it in step."""
+    """Reads the log, appends records under one lease, and updates the lease."""
 
     def __init__(self, lease: Lease, store: StoreClient, clock: Clock) -> None:
-        """Have read nothing yet."""
-        # The newest report that was found.
+        """Start without having read the log."""
+        # The newest report in the log when it was last read.
         self.report: Report | None = None
         self._lease = lease
         self._store = store
@@ -45,50 +45,52 @@
         self._appending = trio.Lock()
 
     async def look(self) -> bool:
-        """Read who holds the lease; False if the store did not tell."""
+        """Read the lease and the newest report; return False if the store did not answer."""
         try:
-            found = await self._store.newest(DUTY_TOPIC)
+            listing = await self._store.newest(DUTY_TOPIC)
         except (PlatformUnavailableError, HistoryGoneError) as exc:
             self._note_store(str(exc))
             return False
         self._note_store('')
-        texts = {record.key: record.text for record in found.records}
+        texts = {record.key: record.text for record in listing.records}
         self.report = _decoded(texts.get(REPORT_KEY), Report)
-        before = self._lease.fence
+        old_fence = self._lease.fence
         holding = _decoded(texts.get(LEASE_KEY), Holding)
-        self._lease.saw(LogView(found.era, found.end, holding), self._clock.steady())
-        if before is not None and self._lease.fence is None:
-            events.log_event(events.DUTY_LEFT, fence=before, holder=holding.holder if holding else '', era=found.era)
+        self._lease.saw(LogView(listing.era, listing.end, holding), self._clock.steady())
+        if old_fence is not None and self._lease.fence is None:
+            events.log_event(
+                events.DUTY_LEFT, fence=old_fence, holder=holding.holder if holding else '', era=listing.era
+            )
         return True
 
     async def append(self, key: str, text: bytes, holding: Holding | None = None) -> Appending:
-        """Append a record at the end that is known; it renews the lease if it is accepted."""
+        """Append a record at the known end of the log; an accepted record renews the lease."""
         async with self._appending:
             if holding is None and self._lease.fence is None:
-                # Lost while this one waited; it would be a claim.
+                # The lease was lost while this call waited; the record would be a claim.
                 return Appending.refused
-            mine = holding or self._lease.next_holding()
+            own_holding = holding or self._lease.next_holding()
             sent_at = self._clock.steady()
             try:
-                found = await self._store.put_at(DUTY_TOPIC, key, text, self._lease.end)
+                answer = await self._store.put_at(DUTY_TOPIC, key, text, self._lease.end)
             except (PlatformUnavailableError, HistoryGoneError) as exc:
                 self._note_store(str(exc))
                 return Appending.unanswered
             self._note_store('')
-            if found is None or found.era != mine.era:
+            if answer is None or answer.era != own_holding.era:
                 return Appending.refused
-            self._lease.appended(mine, found.end, sent_at)
+            self._lease.appended(own_holding, answer.end, sent_at)
             return Appending.taken
 
     def _note_store(self, cause: str) -> None:
-        """Log that the store fails, once until it answers again."""
+        """Log a failure of the store, once until it answers again; an empty ``cause`` is an answer."""
         if cause and not self._failing:
             events.log_event(events.DUTY_STORE_FAILED, cause=cause)
         self._failing = bool(cause)
 
 
 def _decoded(text: bytes | None, kind: type[_Kind]) -> _Kind | None:
-    """Return a record of the duty; one that does not decode is none."""
+    """Decode a record of the duty; return None if it is missing or does not decode."""
     if not text:
         return None
     try:
--- a/packages/sesamepoint/src/sesamepoint/front/reading_turns.py
+++ b/packages/sesamepoint/src/sesamepoint/front/reading_turns.py
@@ -1,11 +1,10 @@
-"""When an entry reads a topic of the store itself, and when a peer's reading will do.
-
-Each entry that read all topics for itself made the calls to the store, and
-the bytes that it sends, grow with the number of entries: 68 entries made 5,000
-calls in a minute and a half. Here one entry at a time reads and tells the
-others what has changed. Nobody is elected: whoever has heard nothing of a
-topic for a while reads it, so that a reader that has died, is frozen or is
-cut off is missed by nobody for longer than that.
+"""Turns at polling a topic of the store: one instance polls and sends the changes to its peers.
+
+When each instance polled all topics itself, the calls to the store and the
+bytes that it sent grew with the number of instances: 68 instances made 5,000
+calls in a minute and a half. There is no election: an instance that has received
+no update of a topic for a while polls it. So if the polling instance dies,
+freezes or is cut off, the others are without updates for no longer than that.
 """
 
 from __future__ import annotations
@@ -17,33 +16,34 @@
     from collections.abc import Callable
     from random import Random
 
-# An entry reads so many times in a row before it leaves the next reading to
-# another: the costs of a reader go round within some minutes, and the reader of
-# the entries' list has the time to miss one.
+# Polls in a row before an instance leaves the next one to a peer: the cost of
+# polling goes round within some minutes, and the instance that polls the list of
+# instances has the time to detect a failed one.
 READS_IN_A_ROW = 100
-# Even if peers tell everything, each entry looks into the store itself after
-# this many seconds: what peers told wrongly lasts no longer.
+# Each instance polls the store itself after this many seconds, even if it receives
+# all updates: a wrong update from a peer is corrected by then.
 CHECK_S = 60.0
-# What a reading may take longer than usual before others begin to read too,
-# in seconds: a call of 4 ms, a datagram, and as much again for a busy reader.
+# How much longer than usual a poll may take before peers poll too, in seconds: a
+# call of 4 ms, a datagram, and as much again if the polling instance is busy.
 MARGIN_S = 0.1
-# After word that there is news, entries read it within this many seconds.
+# After a hint that there are changes, an instance polls the store within this
+# many seconds.
 NEWS_SPREAD_S = 0.05
 
 
 class Pacing(NamedTuple):
-    """How often a topic is read.
+    """Intervals for polling a topic.
 
     Parameters
     ----------
-    wait_s
-        How long the store may hold a call until there is news. Bounds how
-        long a connection that has silently died goes unnoticed.
-    rest_s
-        Pause after each answer, so that busy topics cost few calls.
-    spread_s
-        When the reader falls silent, the others draw from this span when to
-        read in its place.
+    long_poll_s
+        How long the store may hold a call until there are changes, in seconds.
+        Bounds how long a connection that has silently died goes unnoticed.
+    pause_s
+        Pause after each answer, in seconds, so that busy topics cost few calls.
+    takeover_spread_s
+        When the updates cease, the peers poll after a random delay within this
+        time, in seconds.
     """
 
     wait_s: float
@@ -52,18 +52,18 @@
 
 
 class ReadingTurns:
-    """Decides for one topic; without any input or output of its own.
+    """Decides when this instance polls one topic; does no input or output.
 
     Parameters
     ----------
     name
-        The name of this entry.
-    entries
-        Returns how many entries there are.
+        The name of this instance.
+    instance_count
+        Returns the number of instances, including this one.
     """
 
     def __init__(self, pacing: Pacing, name: str, entries: Callable[[], int], rng: Random) -> None:
-        """Read at once; nothing is known yet."""
+        """Make the first poll due at once, with no offset known."""
         self.due: float = 0
         self.end: int | None = None
         self._pacing = pacing
@@ -77,22 +77,22 @@
 
     @property
     def reads_for_all(self) -> bool:
-        """Tell whether it is this entry's turn to read."""
+        """Tell whether this instance polls the topic for all."""
         return self._own_turn
 
     def begin(self) -> None:
-        """Note that this entry is about to call the store."""
+        """Note that this instance is about to call the store."""
         self._own_turn = self._own_turn or not self._hinted
 
     def forget(self) -> None:
-        """Start over: the history since the last reading is gone."""
+        """Start over: the history since the last poll is gone."""
         self.end = None
 
     def listed(self, end: int, now: float) -> None:
         """Note that the whole topic was read, up to the offset ``end``.
 
-        What comes next is read at once: after a loss of all entries, and of
-        the list with them, runners register in these moments.
+        The next poll is due at once: after a failure of all instances, in
+        which the list is lost as well, the runners register just then.
         """
         self._was_read(end, now)
         self._leave_off()
@@ -100,36 +100,36 @@
         self.due = now
 
     def read(self, end: int, now: float) -> bool:
-        """Note that this entry read the log up to ``end``; returns whether to tell the others.
+        """Note that this instance polled the log up to ``end``; return whether to send an update.
 
-        They need not be told by all that read at the word of one, nor by who
-        left off while the store answered.
+        An instance that polled because of a hint sends none, as all others got
+        the same hint; nor does one whose turn ended while the store answered.
         """
-        tells = self._own_turn
+        broadcasts = self._own_turn
         self._was_read(end, now)
         self._in_a_row += 1
-        if self._entries() > 1 and (not tells or self._in_a_row >= READS_IN_A_ROW):
+        if self._entries() > 1 and (not broadcasts or self._in_a_row >= READS_IN_A_ROW):
             self._leave_off()
             self.due = now + self._silence_s()
         else:
             self.due = now + self._pacing.rest_s
-        return tells
+        return broadcasts
 
     def failed(self, again_s: float, now: float) -> None:
-        """Note that the store did not answer; try again after ``again_s``.
+        """Note that the store did not answer; poll again after a pause.
 
-        It may refuse this instance alone: if others go on telling, this one
-        stops calling.
+        The store may refuse this instance alone: if updates from peers arrive
+        meanwhile, this instance stops calling.
         """
         self._leave_off()
         self.due = now + again_s
 
     def told(self, teller: str, start: int, end: int, now: float) -> bool:
-        """Note that ``teller`` has read from ``start`` up to ``end``.
+        """Note an update from a peer that polled from ``start`` up to ``end``.
 
-        Returns whether what it told follows on what is known here. What a
-        peer tells late, after a freeze or by a slow path, ends before what is
-        known by then and counts for nothing.
+        Return whether the update follows on the offset that is known here. An
+        update that arrives late, after a freeze or over a slow path, ends before
+        that offset and is ignored.
         """
         if self.end is None or end < self.end:
             return False
@@ -139,18 +139,18 @@
         self.end = end
         self._hinted = False
         if self._own_turn and teller > self._name:
-            # Two read at the same time; the other one leaves off.
+            # Two instances poll at the same time; the other one ends its turn.
             return True
         self._leave_off()
         self.due = now + self._silence_s()
         if self._check_at <= self.due:
-            # A look of its own is nobody's turn, and nothing to tell of.
+            # A check by this instance alone is no polling turn, and sends no update.
             self._hinted = True
             self.due = max(self._check_at, now)
         return True
 
     def hint(self, now: float) -> None:
-        """Note that there is news that this entry has to read itself."""
+        """Make a poll due soon, for changes that no update contains."""
         self._hinted = True
         self.due = min(self.due, now + self._rng.uniform(0, NEWS_SPREAD_S))
 
@@ -164,12 +164,12 @@
         self._check_at = now + CHECK_S
 
     def _silence_s(self) -> float:
-        """Return how long to hear nothing before reading oneself.
+        """Return how long to go without an update before taking over the polling, in seconds.
 
-        The span's end is drawn exponentially oftener than its beginning, so
-        that of any number of entries about one is first, by so much that its
-        word is there before the next one's turn (as receivers of a multicast
-        suppress each other's feedback).
+        The density of the random part grows exponentially towards the end of its
+        range, so that with any number of instances about one is first, early
+        enough for its update to arrive before the next one polls. Multicast
+        receivers suppress duplicate feedback in the same way.
         """
         steepness = 1 + math.log(max(self._entries(), 1))
         drawn = math.log1p(self._rng.random() * math.expm1(steepness)) / steepness
--- a/packages/sesamepoint/src/sesamepoint/front/usage.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage.py
@@ -1,4 +1,4 @@
-"""Counting what accounts use here, and telling the holder of the duty."""
+"""Usage counts of accounts at this instance, sent to the holder of the duty."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
     from sesamepoint.front.peers import Peers
     from sesamepoint.front.usage_words import DutyWord
 
-# How often it is looked whether there is something to tell, in seconds.
+# How often to check for counts to send, in seconds.
 LOOK_S = 0.1
-# Counts of a window that has ended are told after a moment drawn from this span,
-# in seconds, so that not all tell at once.
+# Range of the random delay before counts of an ended window are sent, in seconds,
+# so that not all instances send at once.
 CLOSE_SPAN_S = (0.02, 0.3)
-# Counts of the window under way are told after so many seconds, and so many for
-# each other entry: that much of its counts a killed instance takes with it, and
-# the holder takes in some forty such words a second.
+# Interval at which counts of the current window are sent, in seconds: the first
+# figure, plus the second one for each instance. The counts of one interval are
+# lost if an instance is killed; the holder receives some forty such messages per
+# second.
 TELL_EVERY_S = 0.5
 TELL_EVERY_PEER_S = 0.025
-# Two starts of an entry have the same number once in 10^14 times.
+# Two incarnations of an instance get the same number once in 10^14 times.
 START_BITS = 48
-# Ended windows that the holder may still want.
+# Number of ended windows whose counts the holder may still need.
 WANTED = 4
 
 
@@ -37,9 +38,9 @@
     """Counts requests by account and window as runners begin to run them."""
 
     def __init__(self, meter: UsageMeter, true_time: TrueTime, clock: Clock, peers: Peers, rng: Random) -> None:
-        """Count with ``meter``; ``peers`` take words to the holder."""
+        """Count with ``meter``; send the counts to the holder through ``peers``."""
         self.entry = peers.name
-        # Tells this start of the entry from others.
+        # Distinguishes this incarnation of the instance from others.
         self.start = rng.getrandbits(START_BITS)
         self._meter = meter
         self._true_time = true_time
@@ -53,9 +54,9 @@
     def note_run(self, job: Job) -> None:
         """Count a request that a runner has begun to run.
 
-        Of a stream the first event shows it. Plain services answer when they
-        are through, some 50 ms after they have begun, and they mostly do so as
-        the request comes to them.
+        A stream shows this by its first event. Other services answer only when
+        they have finished, some 50 ms after they began; they mostly begin when
+        the request arrives, so the time at which it was sent counts.
         """
         account = job.standing.account
         if account is None:
@@ -65,7 +66,7 @@
         self._meter.count(account.name, self._true_time.at(self._clock.steady() - (now - began)))
 
     def heard(self, word: DutyWord) -> None:
-        """Take a word of the holder: a new one, or one that asks again, is told everything."""
+        """Handle an announcement of the holder; send all counts again to a new one, or if it requests them."""
         before = self._holder
         if before is None or word.again or word.fence != before.fence:
             self._told.clear()
@@ -73,19 +74,19 @@
         self._holder = word if word.held else None
 
     async def run(self) -> None:
-        """Tell the holder what is counted here, until cancelled."""
-        told_at = self._clock.steady()
+        """Send the counts of this instance to the holder, until cancelled."""
+        sent_at = self._clock.steady()
         while True:
             await trio.sleep(LOOK_S)
             window = self._meter.window_at(self._true_time.now())
             await self._tell_ended(window)
             period_s = TELL_EVERY_S + TELL_EVERY_PEER_S * self._peers.count()
-            if self._clock.steady() - told_at >= period_s:
-                told_at = self._clock.steady()
+            if self._clock.steady() - sent_at >= period_s:
+                sent_at = self._clock.steady()
                 await self._tell_open(window)
 
     async def tell_last(self) -> None:
-        """Tell what was counted up to now: this instance is about to stop."""
+        """Send the counts of the current window; this instance is about to stop."""
         await self._tell_open(self._meter.window_at(self._true_time.now()))
 
     async def _tell_ended(self, window: int) -> None:
@@ -97,7 +98,7 @@
                 self._told.add(ended)
                 await trio.sleep(self._rng.uniform(*CLOSE_SPAN_S))
                 await self._tell(holder.entry, ended, closed=True)
-        self._told = {one for one in self._told if one >= window - WANTED}
+        self._told = {sent for sent in self._told if sent >= window - WANTED}
 
     async def _tell_open(self, window: int) -> None:
         counts = dict(self._meter.counts(window))
@@ -106,9 +107,9 @@
             await self._tell(self._holder.entry, window, closed=False)
 
     async def _tell(self, holder: str, window: int, *, closed: bool) -> None:
-        counted = Counted(self.entry, self.start, window, closed)
-        for word in usage_words(counted, self._meter.counts(window)):
-            await self._peers.tell_to([holder], word)
+        header = Counted(self.entry, self.start, window, closed)
+        for message in usage_words(header, self._meter.counts(window)):
+            await self._peers.tell_to([holder], message)
 
 
 __all__ = ('UsageCounts',)
--- a/packages/sesamepoint/src/sesamepoint/front/usage_words.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage_words.py
@@ -1,4 +1,4 @@
-"""What entries tell each other for the reports on use."""
+"""Messages between instances for the usage reports."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
 
-# Accounts in one datagram, so that it is one packet.
+# Accounts per datagram, so that it fits into one packet.
 MAX_ROWS = 40
-# What peers tell is bounded before it is believed.
+# Bounds for the values that peers send; messages beyond them are rejected.
 MAX_COUNT = 1_000_000_000
 MAX_PARTS = 1000
 MAX_NUMBER = 1_000_000_000_000_000
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 Part = Annotated[int, msgspec.Meta(ge=0, le=MAX_PARTS)]
-# Seconds since 1970 in windows of a second and more; and fencing numbers.
+# Windows, numbered since 1970 and at least a second long; and fencing tokens.
 Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 
 
 class DutyWord(msgspec.Struct, frozen=True, array_like=True, tag='duty'):
-    """The holder of the duty says that it holds it, and from which window on it wants counts.
+    """Announcement of the holder of the duty, with the first window whose counts it needs.
 
     Parameters
     ----------
     held
-        False if it can't keep the lease: the others need not wait for more words.
-    again
-        Whether counts that were told before are to be told again.
+        False if the sender has lost the lease, so that the peers need not wait
+        for further announcements.
+    resend
+        Whether to send again the counts that were already sent.
     """
 
     entry: str
@@ -42,14 +43,14 @@
 
 
 class Tally(NamedTuple):
-    """How many requests of an account began to run."""
+    """Number of requests of an account that began to run."""
 
     account: Name
     times: Count
 
 
 class UsageWord(msgspec.Struct, frozen=True, array_like=True, tag='usage'):
-    """What one start of an entry has counted of a window; ``closed`` if it will stay so."""
+    """Counts of a window at one incarnation of an instance; ``closed`` if they are final."""
 
     entry: str
     start: Number
@@ -61,7 +62,7 @@
 
 
 class Counted(NamedTuple):
-    """The counts of a window at one start of an entry."""
+    """Fields that all messages with the counts of a window have in common."""
 
     entry: str
     start: int
@@ -70,7 +71,7 @@
 
 
 def usage_words(counted: Counted, counts: Mapping[str, int]) -> Iterator[UsageWord]:
-    """Yield what tells ``counts``, in as many datagrams as it takes."""
+    """Split ``counts`` into messages of one datagram each; at least one, even without counts."""
     rows = [Tally(account, times) for account, times in sorted(counts.items())]
     chunks = [rows[at : at + MAX_ROWS] for at in range(0, len(rows), MAX_ROWS)] or [[]]
     for part, chunk in enumerate(chunks):
