--- a/packages/sesamepoint/src/sesamepoint/front/peers.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peers.py
@@ -98,18 +98,18 @@
 
     def update(self, record: KeyedRecord) -> bool:
         """Apply the newest record of one instance; return whether its address changed."""
-        before = self._addresses.pop(record.key, None)
+        old_address = self._addresses.pop(record.key, None)
         address = _address(record)
         if address is None:
             self.members.leave(record.key)
             self._sends.backlog.forget(record.key)
-            return before is not None
+            return old_address is not None
         self._addresses[record.key] = address
         self.members.join(record.key, trio.current_time())
-        if address != before and record.key in self.members:
+        if address != old_address and record.key in self.members:
             for callback in self.on_newcomer:
                 callback(record.key)
-        return address != before
+        return address != old_address
 
     async def register(self, store: StoreClient) -> None:
         """Write the address on which this instance listens for peers to the store."""
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine.py
@@ -190,7 +190,7 @@
     def release_lapsed(self) -> None:
         """End the quarantines that have expired."""
         for content_id in self.suspects.lapsed(trio.current_time()):
-            self._release(content_id, 'its time is over')
+            self._release(content_id, 'it has expired')
 
     async def _admit_suspect(self, job: Job, pick: Picker) -> bool:
         with trio.move_on_after(hold_s(job.caller_left_s, job.first_left_s)):
@@ -241,7 +241,10 @@
         self.outbox.tell(Notice(self._entry, trials=(TrialNote(trial, state),)))
 
     def _note_end(self, content_id: str, start: Start, *, alone: bool) -> None:
-        """Count the end of a runner against a request; quarantine the request if it ran there ``alone``."""
+        """Count the end of a runner against a request.
+
+        A request that ran there ``alone`` has caused the end and is quarantined.
+        """
         ends = self.suspects.note_end(content_id, start)
         self.outbox.tell(Notice(self._entry, ends=(EndNote(content_id, start),)))
         events.log_event(events.RUNNER_ENDED, content=content_id, runner=start.runner, alone=alone, runners_ended=ends)
@@ -288,7 +291,7 @@
         try:
             self.records[0].send_nowait((content_id, text))
         except trio.WouldBlock:
-            events.log_event(events.QUARANTINE_UNWRITTEN, content=content_id, cause='too many records wait')
+            events.log_event(events.QUARANTINE_UNWRITTEN, content=content_id, cause='the queue of records is full')
 
 
 def _starts(record: KeyedRecord) -> tuple[Start, ...]:
--- a/packages/sesamepoint/src/sesamepoint/front/usage.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage.py
@@ -67,8 +67,8 @@
 
     def heard(self, word: DutyWord) -> None:
         """Handle an announcement of the holder; send all counts again to a new one, or if it requests them."""
-        before = self._holder
-        if before is None or word.again or word.fence != before.fence:
+        previous = self._holder
+        if previous is None or word.again or word.fence != previous.fence:
             self._told.clear()
             self._open_told = {}
         self._holder = word if word.held else None
--- a/packages/sesamepoint/src/sesamepoint/front/watch.py
+++ b/packages/sesamepoint/src/sesamepoint/front/watch.py
@@ -143,16 +143,16 @@
         if news.era < self._era:
             # It is from before the store was restored.
             return
-        due = self.turns.due
+        old_due = self.turns.due
         now = trio.current_time()
-        known = self.turns.end
+        known_end = self.turns.end
         if news.era > self._era or news.changed is None:
             self._hear_unread(news, now)
         elif self.turns.told(news.entry, news.start, news.end, now):
             self._update(Place(news.era, news.end), news.changed)
-        elif known is not None and news.start > known:
+        elif known_end is not None and news.start > known_end:
             self._hear_apart(news)
-        if self.turns.due < due:
+        if self.turns.due < old_due:
             self._sooner.set()
 
     def look_soon(self) -> None:
@@ -197,11 +197,11 @@
 
     async def _take(self, start: int, found: Newest) -> None:
         # Peers may have sent later updates while the store answered.
-        known = max(start, self.turns.end or 0)
-        changed = self._update(Place(found.era, found.end), found.records if found.end >= known else ())
-        if self.turns.read(found.end, trio.current_time()) and found.end >= known:
+        known_end = max(start, self.turns.end or 0)
+        changed = self._update(Place(found.era, found.end), found.records if found.end >= known_end else ())
+        if self.turns.read(found.end, trio.current_time()) and found.end >= known_end:
             records = tellable(changed, private=self._taker.private)
-            await self._others.tell(News(self._others.name, self._topic, known, found.end, records, found.era))
+            await self._others.tell(News(self._others.name, self._topic, known_end, found.end, records, found.era))
 
     def _update(self, place: Place, records: tuple[KeyedRecord, ...]) -> dict[str, KeyedRecord]:
         changed: dict[str, KeyedRecord] = {}
@@ -214,8 +214,8 @@
 
     def _hear_unread(self, news: News, now: float) -> None:
         """Handle an update that lacks its records or is of a newer epoch of the store."""
-        known = self.turns.end
-        if news.era > self._era or (known is not None and known < news.end):
+        known_end = self.turns.end
+        if news.era > self._era or (known_end is not None and known_end < news.end):
             self._teller = news.entry
             self.turns.hint(now)
             self._hear_apart(news)
