--- a/tests/front/builders.py
+++ b/tests/front/builders.py
@@ -1,4 +1,4 @@
-"""Builders of configurations, runners and requests for tests of the front."""
+"""Builders of configurations, runners and requests for the tests of instances."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def route(name: str, prefix: str, service: str, kind: str, **changes: Any) -> dict[str, Any]:
-    """Return a route of the operator's configuration."""
+    """Return a route of the operator's configuration, with ``changes`` to the defaults."""
     base = {
         'name': name,
         'host': HOST,
@@ -39,7 +39,7 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration with a route of each kind, with ``changes`` to the defaults."""
     engine = {'slots': 24, 'kv_tokens': 548319, 'kv_bytes': 18432, 'link_mbps': 370000.0, 'stride': 10}
     base = {
         'version': version,
@@ -79,27 +79,27 @@
 
 
 def bearer(key: str) -> tuple[bytes, bytes]:
-    """Return the header with which a caller shows ``key``."""
+    """Return the authorization header that carries ``key``."""
     return (b'authorization', f'Bearer {key}'.encode())
 
 
 def encoded_configuration() -> bytes:
-    """Return the same as the platform's store has it."""
+    """Return the default configuration, encoded as in the platform's store."""
     return msgspec.json.encode(configuration())
 
 
 def no_limits() -> RunnerLimits:
-    """Return what an instance knows of limits before any runner has named one."""
+    """Return the rate limits known to an instance before any runner has reported one."""
     return RunnerLimits('front-1', Random(1))
 
 
 def open_gate() -> Gate:
-    """Return the gate of an instance to which no runner has said anything of itself."""
+    """Return the send check of an instance that knows no runner status and no suspect request."""
     return Gate.from_limits(no_limits(), Suspects())
 
 
 def plain_runner(number: int, service: str = 'web', **changes: Any) -> RunnerStandIn:
-    """Return a runner of a plain service."""
+    """Return a runner of the plain service ``service``."""
     return RunnerStandIn(f'i-{service}{number}', service, Address(f'10.3.0.{number}', 80), 'z1', **changes)
 
 
@@ -109,13 +109,13 @@
 
 
 def registered_engine(number: int = 1, *, born_ms: int = 0, leaving: bool = False) -> Runner:
-    """Return an engine's registration, as decoded."""
+    """Return the decoded registration of a decode engine."""
     address = Address(f'10.4.0.{number}', 80)
     return Runner(f'i-{number}', 'llm', address, 'z1', 24, leaving=leaving, stage=Stage.decode, born_ms=born_ms)
 
 
 def registration(**changes: Any) -> dict[str, Any]:
-    """Return an engine's registration as the platform's store has it."""
+    """Return a decode engine's registration in the form of the platform's store."""
     base = {**engine(1, 'decode').record, 'born': 1_700_000_000_000}
     return {**base, **changes}
 
@@ -132,20 +132,20 @@
 
 
 def asked(path: str, **changes: Any) -> Asked:
-    """Return a request with an id of its own."""
+    """Return a request with a unique id, with ``changes`` to the defaults."""
     base: dict[str, Any] = {'request_id': f'r{next(_ids)}', 'host': HOST, 'path': path, 'deadline_s': 3.0}
     return Asked(**{**base, **changes})
 
 
 def asked_prompt(path: str, tokens: int = 300, shared: tuple[str, int] = ('s1', 90), **changes: Any) -> Asked:
-    """Return a request with a shared part and ``tokens`` of its own."""
+    """Return a request whose prompt has a shared prefix block and a block of ``tokens`` tokens of its own."""
     number = next(_ids)
-    parts = (shared, (f'own{number}', tokens))
-    return asked(path, request_id=f'p{number}', parts=parts, output=changes.pop('output', 5), **changes)
+    blocks = (shared, (f'own{number}', tokens))
+    return asked(path, request_id=f'p{number}', parts=blocks, output=changes.pop('output', 5), **changes)
 
 
 def tag_request() -> FrontRequest:
-    """Return a request as an instance has read it."""
+    """Return a request to the route ``tag``, as parsed by an instance."""
     head = RequestHead(b'POST', b'/tag/a', ((b'host', b'x'), (b'sesamepoint-request-id', b'r1')))
     return FrontRequest('r1', 'x', '/tag/a', head, b'', 0, None, None)
 
--- a/tests/front/burst.py
+++ b/tests/front/burst.py
@@ -1,11 +1,12 @@
-"""A burst of long prompts before five fronts, and callers that come back once.
-
-The pattern is the busiest 1.4 s of the smaller of today's deployments: 94 long
-prompts a second (13,300 shared tokens of 140 kinds, 3,720 of their own) beside 50
-short ones, on two prefill and four decode engines that read 112,000 tokens a
-second. Known parts need 4.2 engine seconds a second of 4; unknown ones three times
-as much, so not all can be on time. Long answers are on time within 0.4 s, short ones
-within 0.25 s; callers leave after 2 s without a first event.
+"""A burst of long prompts at five instances, whose callers retry once.
+
+The load is that of the busiest 1.4 s of the smaller of the present deployments: 94 long
+prompts per second (13,300 tokens in one of 140 shared prefixes, 3,720 tokens of their own)
+and 50 short ones, on two prefill and four decode engines that prefill 112,000 tokens per
+second. With cached prefixes the load needs 4.2 engine seconds per second, of 4 available;
+with uncached ones three times as much, so not all requests can be on time. The first event
+is on time within 0.4 s for long prompts and 0.25 s for short ones; callers disconnect after
+2 s without a first event.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Answered(NamedTuple):
-    """A request and what came of it."""
+    """A request, its last answer, and the refusals before or in place of it."""
 
     asked: Asked
     seen: Seen
@@ -41,7 +42,7 @@
 
 
 async def play(bed: PlatformBed, rng: Random) -> tuple[list[Answered], list[Answered]]:
-    """Play the burst and return the long and the short requests."""
+    """Send the burst to ``bed`` and return the long and the short requests."""
     long: list[Answered] = []
     short: list[Answered] = []
     async with trio.open_nursery() as nursery:
@@ -52,8 +53,8 @@
 
 async def _send(bed: PlatformBed, rng: Random, found: list[Answered], rate: float) -> None:
     async with trio.open_nursery() as nursery:
-        started = trio.current_time()
-        while trio.current_time() - started < BURST_S:
+        started_at = trio.current_time()
+        while trio.current_time() - started_at < BURST_S:
             await trio.sleep(rng.expovariate(rate))
             nursery.start_soon(_ask, bed, rng.randint(1, FRONTS), _request(rng, rate), found)
 
@@ -67,12 +68,12 @@
 
 
 def long_prompt(rng: Random, **changes: Any) -> Asked:
-    """Return a long request, whose shared part is of one of the kinds."""
-    kind = rng.randint(1, KINDS)
+    """Return a request with a long prompt that begins with a random one of the shared prefixes."""
+    prefix = rng.randint(1, KINDS)
     return asked_prompt(
         '/verdict/a',
         tokens=3720,
-        shared=(f'k{kind}', 13_300),
+        shared=(f'k{prefix}', 13_300),
         output=12,
         deadline_s=5.0,
         first_limit_s=FIRST_LIMIT_S,
@@ -81,26 +82,29 @@
 
 
 async def _ask(bed: PlatformBed, front: int, req: Asked, found: list[Answered]) -> None:
-    """Ask, and come back once when told so; the first event counts from the first try."""
-    started = trio.current_time()
+    """Send ``req`` and retry once after a refusal, at the next instance and at the time that the refusal names.
+
+    The time to the first event counts from the first attempt.
+    """
+    started_at = trio.current_time()
     seen = await bed.caller(f'front-{front}').ask(req)
     refusals = [seen] if seen.status == REFUSED else []
     if seen.status == REFUSED:
         await trio.sleep(seen.retry_after_s or 0)
-        came_back_s = trio.current_time() - started
-        req = req._replace(request_id=f'{req.request_id}b', deadline_s=req.deadline_s - came_back_s)
+        retried_after_s = trio.current_time() - started_at
+        req = req._replace(request_id=f'{req.request_id}b', deadline_s=req.deadline_s - retried_after_s)
         seen = await bed.caller(f'front-{front % FRONTS + 1}').ask(req)
-        seen = seen._replace(first_s=came_back_s + seen.first_s)
+        seen = seen._replace(first_s=retried_after_s + seen.first_s)
     found.append(Answered(req, seen, refusals))
 
 
 def served(found: list[Answered], within_s: float) -> float:
-    """Return the share whose first event came in time."""
+    """Return the share of requests that got a whole answer whose first event came within ``within_s`` seconds."""
     return sum(one.seen.whole and one.seen.status == 200 and one.seen.first_s <= within_s for one in found) / len(found)
 
 
 async def play_burst(seed: int) -> tuple[list[Answered], list[Answered]]:
-    """Play the burst on a new deployment and return the long and the short requests."""
+    """Run the burst on a new deployment and return the long and the short requests."""
     runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
     async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
         return await play(bed, Random(seed))
--- a/tests/front/gate_bed.py
+++ b/tests/front/gate_bed.py
@@ -1,4 +1,4 @@
-"""One engine behind a gate, all kinds of sends to it, and all that closes the gate."""
+"""Test bench of the send check: one engine, all kinds of sends to it, and all conditions that block them."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 class CallerConn:
-    """A caller that waits."""
+    """Connection of a caller that never disconnects."""
 
     def check_caller(self) -> None:
-        """Find the caller there."""
+        """Report no disconnect."""
 
 
 class Bed(NamedTuple):
-    """One engine, and what is believed of it."""
+    """One engine, the instance's state for it, and a request in progress."""
 
     network: SlowNetwork
     gate: Gate
@@ -59,38 +59,38 @@
 
 
 def bed() -> Bed:
-    """Return an instance that knows one engine."""
+    """Return a bench whose engine has reported no status."""
     network = SlowNetwork()
-    gate = open_gate()
-    fleet = Fleet(2.0, network, trio.current_time, gate)
+    send_check = open_gate()
+    fleet = Fleet(2.0, network, trio.current_time, send_check)
     fleet.replace_all([Runner('i-1', 'llm', Address('10.0.0.1', 80), 'z1', 24, leaving=False, stage=Stage.decode)])
     share = Share('llm', 1)
     route = Route('tag', 'x', '/', Repeat.resume, True, 5.0, 0.25, 0.15, 2, 0, (share,))
-    return Bed(network, gate, fleet, Job(tag_request(), route, 'llm', _reply()))
+    return Bed(network, send_check, fleet, Job(tag_request(), route, 'llm', _reply()))
 
 
 async def send_run(kind: SendKind, found: Bed) -> None:
-    """Send a request, or its second step."""
+    """Send a request, or only its decode step, as ``kind`` says."""
     target = Target(found.member, Sending('i-1', 5, 0), PATIENCE_S, purpose=Purpose(kind, found.job))
     await Attempt(tag_request(), target, _reply(), streamed=True).run()
 
 
 async def send_to_read(found: Bed) -> None:
-    """Have a prompt read apart."""
+    """Send a remote prefill."""
     purpose = Purpose(SendKind.read_apart, found.job)
     target = Target(found.member, Sending('i-1', 5, 0, prefill_only=True), PATIENCE_S, purpose=purpose)
     await prefill(tag_request(), target, _reply())
 
 
 async def look_at_memory(found: Bed) -> None:
-    """Ask what the engine keeps."""
+    """Ask the engine for its cache inventory."""
     inventory = Inventory(found.fleet, KnownEngines('front-1', found.fleet), Random(1))
     with trio.move_on_after(PATIENCE_S):
         await inventory.run()
 
 
 async def free_memory(found: Bed) -> None:
-    """Give memory back."""
+    """Ask the engine to free the memory of a prefilled prompt."""
     reclaimer = HandleReclaimer()
     reclaimer.drop(Prefilled(found.member, 'h1'))
     with trio.move_on_after(PATIENCE_S):
--- a/tests/front/limited.py
+++ b/tests/front/limited.py
@@ -1,4 +1,4 @@
-"""Runners that name a limit, the load before them, and the bound that users count by."""
+"""Runners with a rate limit, a load of requests, and measures of what the runners got of it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Load(NamedTuple):
-    """Requests at random instances, ``rate`` a second for ``length_s``."""
+    """Load of ``rate`` requests per second for a time in seconds, each at a random instance."""
 
     request: Callable[[], Asked]
     rate: float
@@ -40,21 +40,21 @@
 
 
 def engines(limited: int, free: int = 0) -> list[RunnerStandIn]:
-    """Return engines that decode, and two that only read prompts, all but ``free`` with a limit."""
-    found = [engine(number, 'decode') for number in range(1, limited + free + 1)]
-    name(found[:limited], LIMIT)
-    return [*found, engine(91, 'prefill'), engine(92, 'prefill')]
+    """Return ``limited`` decode engines with a rate limit, and ``free`` and two prefill engines without."""
+    runners = [engine(number, 'decode') for number in range(1, limited + free + 1)]
+    name(runners[:limited], LIMIT)
+    return [*runners, engine(91, 'prefill'), engine(92, 'prefill')]
 
 
 def plain_runners(limited: int, free: int = 0) -> list[RunnerStandIn]:
-    """Return runners of a plain service, all but ``free`` with a limit."""
-    found = [plain_runner(number) for number in range(1, limited + free + 1)]
-    name(found[:limited], LIMIT)
-    return found
+    """Return ``limited`` plain runners with a rate limit, and ``free`` without one."""
+    runners = [plain_runner(number) for number in range(1, limited + free + 1)]
+    name(runners[:limited], LIMIT)
+    return runners
 
 
 async def send(bed: PlatformBed, rng: Random, load: Load, fronts: Iterable[str] = ()) -> list[Seen]:
-    """Send ``load`` to ``fronts``, all if none are named; return what callers saw."""
+    """Send ``load`` to ``fronts``, or to all instances if there are none given; return the answers."""
     names = tuple(fronts) or tuple(bed.fronts)
     seen: list[Seen] = []
 
@@ -62,32 +62,32 @@
         seen.append(await bed.caller(rng.choice(names)).ask(req))
 
     async with trio.open_nursery() as nursery:
-        until = trio.current_time() + load.length_s
-        while trio.current_time() < until:
+        ends_at = trio.current_time() + load.length_s
+        while trio.current_time() < ends_at:
             await trio.sleep(rng.expovariate(load.rate))
             nursery.start_soon(ask, load.request())
     return seen
 
 
 def limited(bed: PlatformBed) -> list[RunnerStandIn]:
-    """Return the runners that name a limit."""
+    """Return the runners that report a rate limit."""
     return [runner for runner in bed.runners.values() if runner.names_limit]
 
 
 def most(bed: PlatformBed, since: float) -> int:
-    """Return the most that any runner with a limit got in a span that ends after ``since``."""
+    """Return the highest request count of any limited runner in a span that ends at ``since`` or later."""
     return max(_most_at(runner, since) for runner in limited(bed))
 
 
 def used(bed: PlatformBed, since: float, until: float) -> float:
-    """Return the share of their limits that the runners with one got."""
+    """Return the requests that the limited runners got from ``since`` until ``until``, as a share of their limits."""
     runners = limited(bed)
-    came = sum(runner.arrived(since, until) for runner in runners)
-    return came / (float(LIMIT) * len(runners) * (until - since))
+    request_count = sum(runner.arrived(since, until) for runner in runners)
+    return request_count / (float(LIMIT) * len(runners) * (until - since))
 
 
 def name(runners: Iterable[RunnerStandIn], limit: bytes) -> None:
-    """Have ``runners`` name ``limit`` from now on."""
+    """Have ``runners`` report ``limit`` from now on."""
     for runner in runners:
         runner.names_limit = (limit,)
 
--- a/tests/front/random_faults.py
+++ b/tests/front/random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults against a deployment, and an oracle that watches both ends.
+"""Random faults in a simulated deployment, and checks of what callers and runners saw.
 
 Run by hand: python -m tests.front.random_faults FIRST-SEED LAST-SEED
 """
@@ -42,7 +42,7 @@
 
 
 class Outcome(NamedTuple):
-    """A request and what its caller saw."""
+    """A request, its answer, and when it ended at its caller."""
 
     asked: Asked
     seen: Seen
@@ -50,12 +50,12 @@
 
 
 class World:
-    """A deployment whose runners come, go and fail by lot."""
+    """A deployment with random load, whose runners, store and network fail at random."""
 
     length_s = LENGTH_S
 
     def __init__(self, bed: PlatformBed, rng: Random) -> None:
-        """Draw all from ``rng``."""
+        """Draw all random choices from ``rng``."""
         self.bed = bed
         self.outcomes: list[Outcome] = []
         self.past: list[RunnerStandIn] = []
@@ -77,7 +77,7 @@
         )
 
     async def play(self) -> None:
-        """Send requests and break things until the time is over."""
+        """Send requests and cause faults until the duration is over."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._load, nursery)
             with trio.move_on_after(self.length_s):
@@ -86,12 +86,12 @@
                     self._rng.choice(self._steps)()
 
     def runners(self) -> list[RunnerStandIn]:
-        """Return all runners that ever were."""
+        """Return all runners, those that have ended included."""
         return [*self.past, *self.bed.runners.values()]
 
     async def _load(self, nursery: trio.Nursery) -> None:
-        started = trio.current_time()
-        while trio.current_time() - started < self.length_s:
+        started_at = trio.current_time()
+        while trio.current_time() - started_at < self.length_s:
             await trio.sleep(self._rng.expovariate(REQUESTS_A_SECOND))
             nursery.start_soon(self._ask, self._request(), self._rng.randint(1, FRONTS))
 
@@ -105,10 +105,10 @@
         if path in {'/card/a', '/thumb/a'}:
             return asked(path, deadline_s=deadline_s)
         tokens = 3000 if path == '/verdict/a' else 300
-        # Some callers lose patience long before their deadline.
-        limit_s = self._rng.choice((0.03, math.inf, math.inf))
+        # Some callers disconnect long before their deadline.
+        timeout_s = self._rng.choice((0.03, math.inf, math.inf))
         shared = (f'k{self._rng.randint(1, 20)}', 9000)
-        return asked_prompt(path, tokens, shared, deadline_s=deadline_s, first_limit_s=limit_s)
+        return asked_prompt(path, tokens, shared, deadline_s=deadline_s, first_limit_s=timeout_s)
 
     def _any_runner(self) -> RunnerStandIn:
         return self._rng.choice([runner for runner in self.bed.runners.values() if not runner.leaving])
@@ -127,7 +127,7 @@
         self.bed.network.datagrams_lost = False
 
     def _drain_one(self) -> None:
-        """Have a runner leave while the store is up, and put another in its place."""
+        """Start draining a runner, and add a replacement; do nothing while the store is down or slow."""
         if self.bed.store.down or self.bed.store.slow_s:
             return
         old = self._any_runner()
@@ -136,7 +136,7 @@
         self.bed.drain_runner(old.key)
 
     def _crash_one(self) -> None:
-        """End a runner; another incarnation has its address at once, its entry stays."""
+        """End a runner, start another one at its address at once, and then delete the old registration."""
         old = self._any_runner()
         self.bed.network.close(old.address)
         self.past.append(self.bed.runners.pop(old.key))
@@ -161,7 +161,7 @@
         self._excuse_unread_drains()
 
     def _excuse_unread_drains(self) -> None:
-        """Hold nobody to a drain that the store may not have passed on before it went."""
+        """Skip the check of drains so recent that the store may not have delivered them before it failed."""
         now = trio.current_time()
         self.left_at = {key: left_at for key, left_at in self.left_at.items() if now - left_at > DRAIN_S}
 
@@ -182,60 +182,60 @@
 
 
 def broken_promises(world: World) -> list[str]:
-    """Return what callers and runners saw that must not be."""
-    left_at = {one.asked.request_id: one.left_at for one in world.outcomes}
+    """Return a message for each violation that callers or runners saw."""
+    ended_at = {outcome.asked.request_id: outcome.left_at for outcome in world.outcomes}
     runs = Counter(run.request_id for runner in world.runners() for run in runner.runs if not run.prefill)
-    found: list[str] = []
+    messages: list[str] = []
     for outcome in world.outcomes:
-        found.extend(broken_of_request(outcome, runs[outcome.asked.request_id]))
+        messages.extend(broken_of_request(outcome, runs[outcome.asked.request_id]))
     for runner in world.runners():
-        found.extend(_of_runner(runner, left_at, world.left_at.get(runner.key, math.inf)))
-    return found
+        messages.extend(_of_runner(runner, ended_at, world.left_at.get(runner.key, math.inf)))
+    return messages
 
 
 def _of_runner(runner: RunnerStandIn, left_at: dict[str, float], drained_at: float) -> list[str]:
-    found = []
+    messages = []
     for run in runner.runs:
-        caller_left_at = left_at.get(run.request_id)
-        if caller_left_at is None:
-            found.append(f'unasked: {run.request_id}')
-        elif run.started - caller_left_at > GONE_S:
-            found.append(f'gone: {run.request_id} reached {runner.key} after its caller had left')
+        request_ended_at = left_at.get(run.request_id)
+        if request_ended_at is None:
+            messages.append(f'unasked: no caller sent {run.request_id}')
+        elif run.started - request_ended_at > GONE_S:
+            messages.append(f'gone: {run.request_id} reached {runner.key} after it had ended at its caller')
         if run.started - drained_at > DRAIN_S:
-            found.append(f'drain: {run.request_id} reached {runner.key} long after that had left')
-    return found
+            messages.append(f'drain: {run.request_id} reached {runner.key} long after it began to drain')
+    return messages
 
 
 def broken_of_request(one: Outcome, runs: int) -> list[str]:
-    """Return what the caller of one request saw that must not be, and it ran ``runs`` times."""
-    found = []
+    """Return a message for each violation of a request that ran ``runs`` times."""
+    messages = []
     req, seen = one.asked, one.seen
     if seen.status == SUCCESS and seen.whole and seen.body != req.expected:
-        found.append(f'mixed: {req.request_id} got another body')
+        messages.append(f'mixed: {req.request_id} got a body that is not its own')
     if seen.status == SUCCESS and not req.expected.startswith(seen.body):
-        found.append(f'order: {req.request_id} got pieces that do not follow')
+        messages.append(f'order: {req.request_id} got parts that are not the beginning of its answer')
     if req.path in ONCE and runs > 1:
-        found.append(f'twice: {req.request_id} ran {runs} times')
+        messages.append(f'twice: {req.request_id} ran {runs} times')
     if seen.status == NOT_RUN and runs:
-        found.append(f'refused: {req.request_id} was told not run and ran')
-    return found
+        messages.append(f'refused: {req.request_id} was answered as not run, but ran')
+    return messages
 
 
 async def play(seed: int) -> list[str]:
-    """Play one seed and return the broken promises."""
+    """Run one seed and return the violations."""
     rng = Random(seed)
     runners = [plain_runner(1), plain_runner(2), plain_runner(3)]
     runners += [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 6)]
     async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        world = World(bed, rng)
-        await world.play()
-        return broken_promises(world)
+        simulation = World(bed, rng)
+        await simulation.play()
+        return broken_promises(simulation)
 
 
 def main(play_one: Play) -> None:
-    """Play a span of seeds and print what breaks."""
+    """Run a range of seeds and print their violations."""
     for seed in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
-        sys.stdout.write(f'seed {seed}: {run_virtual(play_one, seed, seed=seed) or "kept"}\n')
+        sys.stdout.write(f'seed {seed}: {run_virtual(play_one, seed, seed=seed) or "no violations"}\n')
         sys.stdout.flush()
 
 
--- a/tests/front/silent_network.py
+++ b/tests/front/silent_network.py
@@ -1,4 +1,4 @@
-"""A network that is slow to connect, and whose far ends note what they get and answer nothing."""
+"""A network with slow connects, whose peers record what they receive and never answer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from sesamepoint_core.serving.address import Address
 
-# From the choice of a runner to its connection, in seconds.
+# Time to connect, in seconds: a send is checked this long after its runner was chosen.
 CONNECT_S = 0.05
 
 
 class SilentTransport:
-    """Notes what is sent, and answers nothing."""
+    """Transport that records what is sent and never receives anything."""
 
     peer = ''
 
@@ -22,34 +22,34 @@
         self.sent = b''
 
     async def send_all(self, sent: bytes) -> None:
-        """Note what is sent."""
+        """Record ``sent``."""
         self.sent += sent
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int) -> bytes:
-        """Answer nothing."""
+        """Block until cancelled."""
         return await trio.sleep_forever()
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
     def quiet(self) -> bool:
-        """Tell that it may be used."""
+        """Return True: the connection may be used."""
         return True
 
     def ended(self) -> bool:
-        """Tell that it is open."""
+        """Return False: the connection is open."""
         return False
 
 
 class SlowNetwork:
-    """Takes its time to connect."""
+    """Network that connects every address to one silent transport, after a delay."""
 
     def __init__(self) -> None:
         self.transport = SilentTransport()
 
     async def connect(self, address: Address, timeout_s: float) -> SilentTransport:
-        """Return a connection after a while."""
+        """Return the transport after the connect delay."""
         await trio.sleep(CONNECT_S)
         return self.transport
 
--- a/tests/front/soak.py
+++ b/tests/front/soak.py
@@ -1,7 +1,7 @@
-"""A soak of real front processes: faults from outside, by a proxy and by signals.
+"""Soak test of real instance processes, with faults caused by proxies, signals, runners and the store.
 
 Run by hand: python -m tests.front.soak FIRST-SEED LAST-SEED [SECONDS]
-Only promises are checked that hold at any speed of the machine.
+It checks only what holds at any speed of the machine.
 """
 
 from __future__ import annotations
@@ -40,50 +40,51 @@
 LENGTH_S = 12.0
 REQUESTS_A_SECOND = 40.0
 FAULT_PAUSE_S = 0.5
-# After the faults all must be served again within this time.
+# Time in seconds in which every instance must serve every kind of request after the last fault.
 RECOVER_S = 20.0
-# Processes are frozen for no longer than this; a signal ends one that is frozen
-# when it wakes, and is done within half a second.
+# Processes are stopped for no longer than this. A signal that ends a stopped process takes
+# effect when the process continues, and it exits within half a second.
 LONGEST_FREEZE_S = 2.0
 EARLY_END_S = LONGEST_FREEZE_S + 0.5
-# The key that all requests show; it must be in no output.
+# The key in all requests; it must not appear in any output.
 KEY = 'k3yOfHarborOne77'
 SHOWN = (bearer(KEY),)
-# Within this time no two holders of the duty may take turns.
+# Least time between two different holders of the duty, in seconds.
 TURNS_S = 3.0
 DENIED = 401
-# A front that has just been started or woken has caught up after this time.
+# Time that an instance needs to catch up after a start or a freeze, in seconds.
 STARTED_S = 1.0
-# Of the moments at which the store might go back it does so at these.
+# Share of the chosen rollback steps that roll the store back.
 BACK_SHARE = 0.1
 
 
 class SoakBed(ProcessBed):
-    """A deployment of processes with a faulty proxy before the store and each runner."""
+    """A deployment of processes with a faulty proxy in front of the store and of each runner."""
 
     def __init__(self, nursery: trio.Nursery, folder: Path) -> None:
-        """Write settings to ``folder``."""
+        """Write the settings of the processes to ``folder``."""
         super().__init__(nursery, folder)
         self.proxies: list[FaultyProxy] = []
 
     async def serve(self, serve: Serve) -> Address:
-        """Serve behind a proxy; returns where the proxy listens."""
+        """Serve behind a proxy; return the address of the proxy."""
         proxy = FaultyProxy(await super().serve(serve))
         self.proxies.append(proxy)
         return Address(*await listen(proxy, self.nursery))
 
 
 class Soak:
-    """Requests and faults, drawn by lot."""
+    """Random load and faults, and what callers and runners saw."""
 
     def __init__(self, bed: SoakBed, rng: Random) -> None:
-        """Draw all from ``rng``."""
+        """Draw all random choices from ``rng``, except those of rate limits and runner status."""
         self.outcomes: list[Outcome] = []
         self._bed = bed
         self._rng = rng
         self._version = 1
         self._down: set[int] = set()
-        # Drawn apart, so that what else befalls a seed stays as it was.
+        # These draw from generators of their own, so that adding them changed none of the
+        # other choices of a seed.
         self._limits = SoakLimits(bed, Random(FRONTS))
         self.words = SoakWords(bed, Random(FRONTS))
         self._restarts = 0
@@ -102,7 +103,7 @@
         )
 
     async def play(self, length_s: float) -> None:
-        """Send requests and break things, then wait until all is well."""
+        """Send requests and cause faults, then wait until all kinds of requests are served."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._load, nursery, length_s)
             nursery.start_soon(self._limits.name, length_s)
@@ -115,23 +116,25 @@
         await self._until_served()
 
     def broken_promises(self) -> list[str]:
-        """Return what callers and runners saw that must not be."""
+        """Return a message for each violation that callers or runners saw."""
         runners = (*self._bed.runners, *self.words.runners)
         runs = Counter(run.request_id for runner in runners for run in runner.runs if not run.prefill)
-        found = [text for one in self.outcomes for text in broken_of_request(one, runs[one.asked.request_id])]
-        known = {one.asked.request_id for one in self.outcomes}
-        found += [f'unasked: {name}' for name in runs if name not in known]
-        found += [f'denied: {one.asked.request_id}' for one in self.outcomes if one.seen.status == DENIED]
-        found += self._bed.usage.broken(TURNS_S)
-        found += self._limits.broken_promises(FRONTS + self._restarts)
-        found += self.words.broken_promises({one.asked.request_id for one in self.outcomes if one.seen.status})
-        return found + [f'a key in {log.name}' for log in self._bed.logs() if KEY in log.read_text(encoding='utf-8')]
+        messages = [text for one in self.outcomes for text in broken_of_request(one, runs[one.asked.request_id])]
+        sent_ids = {one.asked.request_id for one in self.outcomes}
+        messages += [f'unasked: no caller sent {run_id}' for run_id in runs if run_id not in sent_ids]
+        messages += [f'denied: {one.asked.request_id}' for one in self.outcomes if one.seen.status == DENIED]
+        messages += self._bed.usage.broken(TURNS_S)
+        messages += self._limits.broken_promises(FRONTS + self._restarts)
+        messages += self.words.broken_promises({one.asked.request_id for one in self.outcomes if one.seen.status})
+        return messages + [
+            f'the API key is in {log.name}' for log in self._bed.logs() if KEY in log.read_text(encoding='utf-8')
+        ]
 
     async def reload_front(self, place: int) -> None:
-        """Tell a front that its settings have changed.
+        """Send a front the signal to reload its settings.
 
-        Told before it handles signals, a start ends, and the platform starts
-        the process again. From then on the signal must not end it.
+        A signal that comes before a starting process handles signals ends the process, and
+        the platform starts it again. After that point the signal must not end it.
         """
         front = self._bed.fronts[place]
         _signal(front.process, signal.SIGHUP)
@@ -141,10 +144,10 @@
             return
         self._down.add(place)
         self._restarts += 1
-        began = trio.current_time()
+        began_at = trio.current_time()
         await self._bed.restart_front(place)
         self._down.discard(place)
-        self._note_disturbed(place, began)
+        self._note_disturbed(place, began_at)
 
     async def _load(self, nursery: trio.Nursery, length_s: float) -> None:
         with trio.move_on_after(length_s):
@@ -159,21 +162,21 @@
         return seen.status == 200 and seen.whole
 
     def _request(self) -> Asked:
-        limit_s = self._rng.choice((0.02, math.inf, math.inf, math.inf))
+        timeout_s = self._rng.choice((0.02, math.inf, math.inf, math.inf))
         path = self._rng.choice(('/card/a', '/thumb/a', '/tag/a', '/verdict/a'))
         if path in {'/card/a', '/thumb/a'}:
             return asked(path, deadline_s=2.0, extra=SHOWN)
         shared = (f'k{self._rng.randint(1, 9)}', 9000)
-        return asked_prompt(path, 500, shared, output=20, deadline_s=3.0, first_limit_s=limit_s, extra=SHOWN)
+        return asked_prompt(path, 500, shared, output=20, deadline_s=3.0, first_limit_s=timeout_s, extra=SHOWN)
 
     async def _freeze_front(self) -> None:
         place = self._rng.randrange(FRONTS)
-        began = trio.current_time()
+        began_at = trio.current_time()
         front = self._bed.fronts[place].process
         _signal(front, signal.SIGSTOP)
         await trio.sleep(self._rng.uniform(0.1, LONGEST_FREEZE_S))
         _signal(front, signal.SIGCONT)
-        self._note_disturbed(place, began)
+        self._note_disturbed(place, began_at)
 
     async def _kill_front(self) -> None:
         await self._end_front(signal.SIGKILL)
@@ -182,20 +185,20 @@
         await self._end_front(signal.SIGTERM)
 
     async def _end_front(self, number: signal.Signals) -> None:
-        """End a front and start it again; the signal may come more than once."""
+        """Send a front a signal that ends it, and restart it unless another task is doing that already."""
         place = self._rng.randrange(FRONTS)
         process = self._bed.fronts[place].process
         _signal(process, number)
         if place in self._down:
             return
         self._down.add(place)
-        began = trio.current_time()
+        began_at = trio.current_time()
         await process.wait()
         await trio.sleep(self._rng.uniform(0, 0.5))
         self._restarts += 1
         await self._bed.restart_front(place)
         self._down.discard(place)
-        self._note_disturbed(place, began)
+        self._note_disturbed(place, began_at)
 
     async def _reload_front(self) -> None:
         await self.reload_front(self._rng.randrange(FRONTS))
@@ -227,7 +230,7 @@
         self._bed.store.put(OPERATOR_TOPIC, OPERATOR_KEY, {**base, 'routes': [*base['routes'], added]})
 
     async def _take_store_back(self) -> None:
-        """Have the store come back from an older copy; who wrote there writes again."""
+        """Roll the store back to an older copy now and then; runners and the operator write their records again."""
         if self._rng.random() > BACK_SHARE:
             return
         self._bed.store.go_back(self._rng.uniform(0.2, 4))
@@ -244,7 +247,7 @@
             runner.faults = Faults()
 
     async def _until_served(self) -> None:
-        """Wait until each front serves each kind."""
+        """Wait until each front serves each kind of request."""
         with trio.fail_after(RECOVER_S):
             for front in self._bed.fronts:
                 await self._bed.until_ready(front)
@@ -264,13 +267,13 @@
 
 
 def _signal(process: trio.Process, number: signal.Signals) -> None:
-    # It may have ended by an earlier one.
+    # An earlier signal may have ended the process.
     with suppress(ProcessLookupError):
         process.send_signal(number)
 
 
 async def play(seed: int, length_s: float = LENGTH_S) -> list[str]:
-    """Play one seed and return the broken promises."""
+    """Run one seed and return the violations."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             bed = SoakBed(nursery, Path(folder))
@@ -292,10 +295,10 @@
 
 
 def main() -> None:
-    """Play a span of seeds and print what breaks."""
+    """Run a range of seeds and print their violations."""
     length_s = float(sys.argv[3]) if len(sys.argv) > 3 else LENGTH_S
     for seed in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
-        sys.stdout.write(f'seed {seed}: {trio.run(play, seed, length_s) or "kept"}\n')
+        sys.stdout.write(f'seed {seed}: {trio.run(play, seed, length_s) or "no violations"}\n')
         sys.stdout.flush()
 
 
