--- a/tests/front/test_account_flood.py
+++ b/tests/front/test_account_flood.py
@@ -1,10 +1,9 @@
-"""One large account floods the engines, and comes back at once when it is refused.
+"""Service of small accounts while one large account floods the engines and retries at once.
 
-The pattern is the burst of :mod:`tests.front.burst`: 94 long prompts a second of
-one account, where two thirds of them can be served, beside eight accounts with
-1.5 a second each. The flooding callers heed no time to return and try three times
-more. Whatever is done for the many, the few must be served at least a quarter as
-often as all.
+The large account sends the long prompts of :mod:`tests.front.burst`, 94 per second, of which
+two thirds can be served. Its callers ignore retry times and make up to four attempts. Eight
+small accounts send 1.5 requests per second each. The share of requests served of the small
+accounts must be more than a quarter of the share of all accounts.
 """
 
 from __future__ import annotations
@@ -29,32 +28,32 @@
 
 
 class Asked(NamedTuple):
-    """A request of an account, and whether it was served in the end."""
+    """A request of an account, and whether one of its attempts was served."""
 
     account: str
     served: bool
 
 
 class Flood:
-    """Callers of one large account and of some small ones."""
+    """Load of one large account and of the small ones."""
 
     def __init__(self, bed: PlatformBed, seed: int) -> None:
-        """Ask ``bed``."""
+        """Send the load to ``bed``, drawn from a generator with ``seed``."""
         self.asked: list[Asked] = []
         self._bed = bed
         self._rng = Random(seed)
 
     async def play(self) -> None:
-        """Ask for the time of a burst, and wait for all answers."""
+        """Send requests for the duration of the burst, and wait for all answers."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send, LARGE, LONG_A_SECOND, TRIES)
             for name in SMALL:
                 nursery.start_soon(self._send, name, SMALL_A_SECOND, 1)
 
     def share(self, names: tuple[str, ...]) -> float:
-        """Return the share of the requests of some accounts that was served."""
-        found = [one.served for one in self.asked if one.account in names]
-        return sum(found) / len(found)
+        """Return the share of the requests of the accounts ``names`` that was served."""
+        served = [one.served for one in self.asked if one.account in names]
+        return sum(served) / len(served)
 
     async def _send(self, name: str, rate: float, tries: int) -> None:
         async with trio.open_nursery() as nursery:
@@ -79,11 +78,14 @@
 
 
 class FloodTest(TestCase):
-    """What is left for the small accounts."""
+    """Share of the small accounts under a flood."""
 
     @virtual
     async def test_small_accounts_are_not_starved(self) -> None:
-        """They are served at least a quarter as often as all, each of them once or more in three floods."""
+        """Guard against a large account that takes nearly all capacity by sending more requests than can be served.
+
+        Over three floods each account must be served at least once.
+        """
         served: set[str] = set()
         for seed in SEEDS:
             cfg = configuration(1, tenants=[account(name, _key(name)) for name in (*SMALL, LARGE)])
--- a/tests/front/test_accounts.py
+++ b/tests/front/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: who is served, for whom, and what nobody gets to see."""
+"""API keys of client accounts: authentication, changes of keys, secrecy of keys, validation of the list."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 SECRET = 'k3yOfHarborOne77'
 HARBOR = account('harbor', SECRET, 'k3yOfHarborTwo88')
 MARINA = account('marina', 'k3yOfMarina99')
-# What a caller must not set: the name of another account.
+# Header with the name of another account, which callers must not be able to set.
 FORGED = (names.ACCOUNT, b'marina')
 
 
@@ -36,15 +36,15 @@
 
 
 def _account_at(runner: RunnerStandIn) -> list[bytes | None]:
-    """Return what a runner was told of the account, a run each."""
+    """Return the account named in each request that ``runner`` ran, or None where none was named."""
     return [header(run.message.head.headers, names.ACCOUNT) for run in runner.runs]
 
 
 class Asking:
-    """A request under way, and what came of it."""
+    """A request in progress, and its answer once there is one."""
 
     def __init__(self, bed: PlatformBed, asked_for: Asked, nursery: trio.Nursery) -> None:
-        """Ask the first front."""
+        """Send the request to the first instance."""
         self.seen: list[Seen] = []
         nursery.start_soon(self._ask, bed, asked_for)
 
@@ -53,42 +53,42 @@
 
 
 class LinesKept(logging.Handler):
-    """Keeps all lines with all their fields."""
+    """Log handler that records all log lines with all their fields."""
 
     def __init__(self) -> None:
-        """Keep lines of each level."""
+        """Record lines of all levels."""
         super().__init__(logging.DEBUG)
         self.text = ''
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line."""
+        """Record a line."""
         self.text += repr(record.__dict__)
 
 
 class KeyTest(TestCase):
-    """Who is served."""
+    """Authentication by API keys."""
 
     @virtual
     async def test_known_key_names_its_account(self) -> None:
-        """Runners get the account's name whatever the caller set, and never the key."""
+        """Guard against runners that get the key, or an account name that the caller set."""
         runners = fleet()
         async with running_bed(_with(HARBOR, MARINA), runners) as bed:
-            shown = (bearer(SECRET), FORGED)
-            plain = [asked(path, extra=shown) for path in ('/card/a', '/thumb/a')]
-            prompts = [asked_prompt(path, tokens=4000, extra=shown) for path in ('/tag/a', '/verdict/a')]
+            headers = (bearer(SECRET), FORGED)
+            plain = [asked(path, extra=headers) for path in ('/card/a', '/thumb/a')]
+            prompts = [asked_prompt(path, tokens=4000, extra=headers) for path in ('/tag/a', '/verdict/a')]
             for one in (*plain, *prompts):
                 seen = await bed.caller('front-1').ask(one)
                 self.assertEqual(seen.status, 200)
-        told = [name for runner in runners for name in _account_at(runner)]
-        self.assertGreaterEqual(len(told), 4)
-        self.assertEqual(set(told), {b'harbor'})
+        received = [name for runner in runners for name in _account_at(runner)]
+        self.assertGreaterEqual(len(received), 4)
+        self.assertEqual(set(received), {b'harbor'})
         seen_headers = [run.message.head.headers for runner in runners for run in runner.runs]
-        self.assertEqual({header(headers, names.AUTHORIZATION) for headers in seen_headers}, {None})
+        self.assertEqual({header(run_headers, names.AUTHORIZATION) for run_headers in seen_headers}, {None})
 
     @virtual
     async def test_keys_that_are_nobodys_are_denied_at_once(self) -> None:
-        """Unknown, missing, malformed, repeated: 401, nothing held, nothing run."""
-        shown = (
+        """Guard against requests with an unknown, missing, malformed or repeated key that run or wait."""
+        rejected = (
             (),
             (bearer('nobodys'),),
             ((b'authorization', b'Bearer'),),
@@ -101,7 +101,7 @@
         )
         runners = fleet()
         async with running_bed(_with(HARBOR), runners) as bed:
-            for extra in shown:
+            for extra in rejected:
                 seen = await bed.caller('front-1').ask(asked('/card/a', extra=extra))
                 self.assertEqual(seen.status, 401, extra)
                 self.assertLess(seen.took_s, 0.02)
@@ -109,7 +109,7 @@
 
     @virtual
     async def test_scheme_in_other_case_is_the_same_scheme(self) -> None:
-        """Schemes have no case; keys do."""
+        """Guard against denials for the case of the scheme, which does not matter, unlike that of the key."""
         async with running_bed(_with(HARBOR), fleet()) as bed:
             extra = ((b'authorization', f'bEARER {SECRET}'.encode()),)
             seen = await bed.caller('front-1').ask(asked('/card/a', extra=extra))
@@ -117,7 +117,7 @@
 
     @virtual
     async def test_public_route_needs_no_key(self) -> None:
-        """Nobody's request is served there; a key that is shown stays here all the same."""
+        """Guard against denials on public routes, and against runners that get keys or account names set by callers."""
         routes = [route('thumb', '/thumb/', 'web', 'idempotent', public=True)]
         runner = plain_runner(1)
         async with running_bed(_with(HARBOR, routes=routes), [runner]) as bed:
@@ -129,14 +129,14 @@
 
     @virtual
     async def test_without_accounts_nothing_is_asked(self) -> None:
-        """A configuration without accounts serves callers without keys."""
+        """Guard against denials of callers without keys where the configuration lists no accounts."""
         async with running_bed(configuration(), fleet()) as bed:
             seen = await bed.caller('front-1').ask(asked('/card/a'))
         self.assertEqual(seen.status, 200)
 
     @virtual
     async def test_account_goes_before_route_in_rank(self) -> None:
-        """The rank that an engine gets is the account's, if it has one."""
+        """Guard against engines that get the priority of the route where the account has one of its own."""
         runners = [engine(1, 'decode')]
         ranked = account('marina', 'k3yOfMarina99', priority=3)
         async with running_bed(_with(HARBOR, ranked), runners) as bed:
@@ -147,18 +147,18 @@
 
 
 class ChangeTest(TestCase):
-    """Keys that are added, moved and taken."""
+    """Keys that are added, moved and revoked."""
 
     @virtual
     async def test_changes_on_a_kept_connection(self) -> None:
-        """Each change is in force soon, at all instances, for callers that stay connected."""
+        """Guard against instances that keep applying old keys to connections opened before a change."""
         runner = plain_runner(1)
         async with running_bed(_with(HARBOR, MARINA), [runner], fronts=3) as bed:
             callers = [bed.caller(name) for name in bed.fronts]
-            moved = account('marina', 'k3yOfMarina99', SECRET)
-            steps = ((2, moved, 200), (3, MARINA, 401), (4, HARBOR, 200))
-            for version, only, status in steps:
-                bed.publish(_with(only, version=version))
+            key_moved = account('marina', 'k3yOfMarina99', SECRET)
+            steps = ((2, key_moved, 200), (3, MARINA, 401), (4, HARBOR, 200))
+            for version, listed, status in steps:
+                bed.publish(_with(listed, version=version))
                 await trio.sleep(IN_FORCE_S)
                 for caller in callers:
                     seen = await caller.ask(asked('/card/a', extra=(bearer(SECRET),)))
@@ -167,7 +167,7 @@
 
     @virtual
     async def test_older_list_never_comes_back(self) -> None:
-        """A store that shows an older version gives no key back."""
+        """Guard against revoked keys that work again because the store returns an older configuration."""
         async with running_bed(_with(HARBOR, version=5), [plain_runner(1)]) as bed:
             bed.publish(_with(MARINA, version=6))
             await trio.sleep(IN_FORCE_S)
@@ -178,43 +178,42 @@
 
     @virtual
     async def test_key_taken_while_its_request_waits(self) -> None:
-        """The caller is denied as soon as its key is taken.
+        """Guard against a request that runs although its key was revoked while it waited in the queue.
 
-        Its long prompt waits here behind others for a busy engine; the operator
-        takes the key. Sent on later it would run for an account that has left.
+        Its long prompt waits behind others for a busy engine when the operator removes the account.
         """
         runners = [engine(1, 'decode')]
         async with running_bed(_with(HARBOR, MARINA), runners) as bed, trio.open_nursery() as nursery:
             for number in range(40):
-                other = asked_prompt(
+                earlier = asked_prompt(
                     '/verdict/a', tokens=9000, shared=(f's{number}', 9000), extra=(bearer('k3yOfMarina99'),)
                 )
-                nursery.start_soon(bed.caller('front-1').ask, other)
+                nursery.start_soon(bed.caller('front-1').ask, earlier)
             await trio.sleep(0.05)
-            held = asked_prompt('/tag/a', tokens=3000, extra=(bearer(SECRET),))
-            asking = Asking(bed, held, nursery)
+            queued = asked_prompt('/tag/a', tokens=3000, extra=(bearer(SECRET),))
+            pending = Asking(bed, queued, nursery)
             await trio.sleep(0.01)
-            waits = not asking.seen
+            waits = not pending.seen
             bed.publish(_with(MARINA, version=2))
             await trio.sleep(IN_FORCE_S)
             nursery.cancel_scope.cancel()
         self.assertTrue(waits)
-        self.assertEqual([seen.status for seen in asking.seen], [401])
+        self.assertEqual([seen.status for seen in pending.seen], [401])
         self.assertNotIn(b'harbor', _account_at(runners[0]))
 
     @virtual
     async def test_key_taken_while_its_request_runs(self) -> None:
-        """What runs already ends whole."""
+        """Guard against a running request that is broken off because its key is revoked."""
         runner = plain_runner(1, work_s=0.8)
         async with running_bed(_with(HARBOR), [runner]) as bed, trio.open_nursery() as nursery:
-            asking = Asking(bed, asked('/card/a', extra=(bearer(SECRET),)), nursery)
+            pending = Asking(bed, asked('/card/a', extra=(bearer(SECRET),)), nursery)
             await trio.sleep(0.1)
             bed.publish(_with(MARINA, version=2))
-        self.assertEqual([seen.status for seen in asking.seen], [200])
+        self.assertEqual([seen.status for seen in pending.seen], [200])
 
     @virtual
     async def test_unconfigured_instance_denies_nobody(self) -> None:
-        """503, never 401, while an instance knows no configuration."""
+        """Guard against 401 from an instance that has no configuration yet; it must answer 503."""
         async with running_bed(_with(HARBOR), [plain_runner(1)]) as bed:
             bed.store.down = True
             bed.add_front(2)
@@ -223,46 +222,49 @@
 
 
 class SecretTest(TestCase):
-    """Keys are nowhere to be read."""
+    """Secrecy of keys."""
 
     @virtual
     async def test_no_output_holds_a_key(self) -> None:
-        """All log lines, metrics and words to peers of a run with denied, failed and served requests."""
-        lines = LinesKept()
+        """Guard against keys in log lines, metrics or messages to peers after denied, failed and served requests."""
+        recorder = LinesKept()
         logger = logging.getLogger('sesamepoint')
-        logger.addHandler(lines)
+        logger.addHandler(recorder)
         try:
             text = await _text_of_run()
         finally:
-            logger.removeHandler(lines)
-        text += lines.text
+            logger.removeHandler(recorder)
+        text += recorder.text
         self.assertIn('harbor', text)
         self.assertIn('unknown_key', text)
         self.assertNotIn(SECRET, text)
 
 
 async def _text_of_run() -> str:
-    """Return the metrics, configurations and words to peers of a run."""
+    """Return the metrics, configurations and messages to peers of a run, as text."""
     runners = fleet()
     runners[1].faults.fails = True
-    tried = (('/card/a', SECRET), ('/thumb/a', SECRET), ('/card/b', f'{SECRET}x'), ('/x', SECRET))
+    requests = (('/card/a', SECRET), ('/thumb/a', SECRET), ('/card/b', f'{SECRET}x'), ('/x', SECRET))
     async with running_bed(_with(HARBOR), runners, fronts=2) as bed:
-        for path, key in tried:
+        for path, key in requests:
             await bed.caller('front-1').ask(asked(path, extra=(bearer(key),)))
             await bed.caller('front-2').ask(asked(path, extra=(bearer(key),)))
         bed.publish(_with(HARBOR, account('marina', SECRET), version=2))
         bed.publish(_with(account('marina', f'{SECRET}2'), version=3))
         await trio.sleep(IN_FORCE_S)
         pages = [generate_latest(one.dispatcher.metrics.registry).decode() for one in bed.fronts.values()]
-        beliefs = [repr(one.dispatcher.configuration) for one in bed.fronts.values()]
-        return repr((pages, beliefs, bed.network.datagrams))
+        configurations = [repr(one.dispatcher.configuration) for one in bed.fronts.values()]
+        return repr((pages, configurations, bed.network.datagrams))
 
 
 class ListTest(TestCase):
-    """What the operator may list."""
+    """Validation of the operator's list of accounts."""
 
     def test_refused_lists(self) -> None:
-        """A key of two accounts, an empty one, a name that is no header: refused without showing keys."""
+        """Guard against lists with a key of two accounts, an empty key, or a name that is no header value.
+
+        They must be rejected by a message without keys.
+        """
         lists = (
             [HARBOR, account('marina', SECRET)],
             [account('harbor', SECRET, '')],
@@ -273,7 +275,7 @@
             self.assertNotIn(SECRET, _refusal(accounts))
 
     def test_accepted_lists(self) -> None:
-        """An account without keys, a key that one account lists twice, ten thousand keys."""
+        """Guard against the rejection of accounts without keys, keys listed twice in one account, and 10,000 keys."""
         many = [account(f'a{number}', *(f'key{number}x{place}' for place in range(5))) for number in range(2000)]
         for accounts in ([account('harbor')], [account('harbor', SECRET, SECRET)], many):
             cfg = decode_configuration(msgspec.json.encode(_with(*accounts)))
@@ -281,9 +283,9 @@
 
 
 def _refusal(accounts: list[dict[str, Any]]) -> str:
-    """Return why a list is refused."""
+    """Return the message with which a list is rejected."""
     try:
         decode_configuration(msgspec.json.encode(_with(*accounts)))
     except UnreadableRecordError as exc:
         return str(exc)
-    raise AssertionError('it was accepted')
+    raise AssertionError('the list was accepted')
--- a/tests/front/test_asked_for_rest.py
+++ b/tests/front/test_asked_for_rest.py
@@ -1,8 +1,8 @@
-"""Runners that turn requests away and ask for rest.
+"""Back-off of instances from runners that reject requests and ask for it.
 
-Seen: an engine asked an instance for 3 s of rest, and got 7 and 9 requests from it in that time.
-How: each request that was turned away counted as a failure; after three the engine was left out for a second.
-Cause: nobody read the time that the engine named.
+Seen once: an engine that had asked an instance for 3 s of back-off got 7 and 9 requests from it in that time.
+The instance did not read the time that the engine named. It counted each rejection as a failure, and ejected
+the engine for one second after three of them.
 """
 
 from __future__ import annotations
@@ -31,24 +31,26 @@
 
 REST = b'3'
 LENGTH_S = 8.0
-# From the head of an answer on nothing is sent there; a request may be under way, in seconds.
+# Time for requests in flight: nothing may arrive later than this after the head of the answer
+# that asks for back-off, in seconds.
 AT_ONCE_S = 0.02
-# A connection of this many seconds is slower than an answer.
+# Time to connect in seconds, longer than an answer takes.
 SLOW_CONNECT_S = 0.1
-# What comes within so many seconds after a rest is a few, of hundreds that wait.
+# Within this many seconds after a back-off at most this many of hundreds of waiting requests
+# may arrive.
 FIRST_S = 0.2
 FEW = 8
-# The target of the route.
+# Target latency of the route.
 ON_TIME_S = 0.25
 PATIENT_S = 60.0
-# Of 5 s of rest 2 have passed at the most when the last one is refused.
+# At most 2 s of the 5 s of back-off have passed when the last request is refused.
 EARLIEST_S = 2.9
 GOOD = 200
 NOT_RUN = 503
 
 
 async def rest_under(bed: PlatformBed, runners: list[RunnerStandIn], load: Load) -> None:
-    """Have ``runners`` turn all requests away and ask for rest, from the second second of ``load`` on."""
+    """Send ``load``, and have ``runners`` reject all requests and ask for back-off from its second second on."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send, bed, Random(1), load)
         await trio.sleep(1)
@@ -56,34 +58,34 @@
 
 
 def ask_for_rest(runners: list[RunnerStandIn], text: bytes) -> None:
-    """Have ``runners`` turn all requests away and ask for rest."""
+    """Have ``runners`` reject all requests and ask for back-off by a header with ``text``."""
     for runner in runners:
         runner.faults.rejects = True
         runner.asks_rest = (text,)
 
 
 def end_rest(runners: list[RunnerStandIn]) -> None:
-    """Have ``runners`` take requests again."""
+    """Have ``runners`` accept requests again."""
     for runner in runners:
         runner.faults.rejects = False
 
 
 def patient_fetch() -> Asked:
-    """Return a request whose caller has the time to come back later."""
+    """Return a plain request whose deadline leaves time for a retry after the back-off."""
     return asked('/thumb/a', deadline_s=PATIENT_S)
 
 
 def patient_prompt() -> Asked:
-    """Return a prompt whose caller has the time to come back later."""
+    """Return a prompt whose deadline leaves time for a retry after the back-off."""
     return asked_prompt('/tag/a', deadline_s=PATIENT_S)
 
 
 class RestTest(TestCase):
-    """What reaches a runner that has asked for rest."""
+    """Requests that reach a runner during a back-off."""
 
     @virtual
     async def test_engine_asks_for_rest(self) -> None:
-        """Guards against an engine that is sent requests in the time of rest that it asked for."""
+        """Guard against requests to an engine during the back-off that it asked for."""
         runners = engines(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             await rest_under(bed, runners[:1], Load(short_prompt, 90, LENGTH_S))
@@ -91,7 +93,7 @@
 
     @virtual
     async def test_plain_runner_asks_for_rest(self) -> None:
-        """Guards against a plain runner that is sent requests in the time of rest that it asked for."""
+        """Guard against requests to a plain runner during the back-off that it asked for."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             await rest_under(bed, runners[:1], Load(fetch, 90, LENGTH_S))
@@ -99,7 +101,7 @@
 
     @virtual
     async def test_reader_asks_for_rest(self) -> None:
-        """Guards against prompts that are read apart, and memory that is freed, at an engine that rests."""
+        """Guard against remote prefills and calls to free memory at an engine during a back-off."""
         runners = engines(0, 4)
         load = Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
@@ -109,7 +111,7 @@
 
     @virtual
     async def test_second_steps_at_an_engine_that_rests(self) -> None:
-        """Guards against second steps that were planned at an engine before it asked for rest."""
+        """Guard against decode steps at an engine during a back-off that were planned before it."""
         runners = engines(0, 4)
         load = Load(partial(asked_prompt, '/tag/a', 3000), 60, LENGTH_S)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
@@ -119,18 +121,18 @@
 
     @virtual
     async def test_looks_at_memory(self) -> None:
-        """Guards against a rest that is asked for in answer to a look at an engine's memory, and not heard there."""
+        """Guard against an instance that ignores a back-off asked for in the answer to an inventory request."""
         runners = engines(0, 4)
         runners[0].tells_kept = False
         runners[0].asks_rest = (REST,)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             await send(bed, Random(1), Load(short_prompt, 90, 2))
-        self.assertEqual(len({told.sender for told in runners[0].told}), FRONTS)
+        self.assertEqual(len({report.sender for report in runners[0].told}), FRONTS)
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
     @virtual
     async def test_shorter_and_longer_ones(self) -> None:
-        """Guards against a later word that shortens a rest."""
+        """Guard against a later answer with a shorter time that shortens a back-off."""
         runners = plain_runners(0, 4)
         runners[0].faults.rejects = True
         runners[0].asks_rest = (b'1', b'5', b'2')
@@ -140,7 +142,7 @@
 
     @virtual
     async def test_starts_again(self) -> None:
-        """Guards against a rest that stays with a runner which has started again under its key."""
+        """Guard against a back-off that still applies to a runner after its restart under the same key."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             runners[0].faults.rejects = True
@@ -156,7 +158,7 @@
 
     @virtual
     async def test_sent_back_by_a_hundred_at_a_time(self) -> None:
-        """Guards against requests that wait for connections when the first of them is turned away."""
+        """Guard against sends of requests that wait for a connection when their runner asks for back-off."""
         runners = plain_runners(0, 2)
         async with running_bed(configuration(), runners, fronts=1) as bed:
             await send(bed, Random(1), Load(fetch, 60, 1))
@@ -168,28 +170,28 @@
 
 
 class AfterRestTest(TestCase):
-    """What becomes of a rest that is over."""
+    """Requests at the end of a back-off."""
 
     @virtual
     async def test_filled_gradually(self) -> None:
-        """Guards against all that has waited, which comes at the moment a rest is over and is turned away again."""
+        """Guard against all waiting requests being sent the moment a back-off ends, and being rejected again."""
         runners = plain_runners(0, 2)
         async with running_bed(configuration(), runners, fronts=1) as bed:
-            began = trio.current_time()
+            began_at = trio.current_time()
             await send(bed, Random(1), Load(fetch, 20, 0.5))
             ask_for_rest(runners, b'1')
             await send(bed, Random(2), Load(fetch, 20, 0.5))
             end_rest(runners)
-            asked_at = max(told.at for one in runners for told in one.told)
+            last_asked_at = max(report.at for one in runners for report in one.told)
             await send(bed, Random(3), Load(fetch, 300, 4))
-        first = [one.arrived(asked_at, asked_at + 1 + FIRST_S) for one in runners]
-        last = [one.arrived(began + 4, began + 5) for one in runners]
+        first = [one.arrived(last_asked_at, last_asked_at + 1 + FIRST_S) for one in runners]
+        last = [one.arrived(began_at + 4, began_at + 5) for one in runners]
         self.assertLessEqual(max(first), FEW)
         self.assertGreater(min(last), 100)
 
     @virtual
     async def test_waits_for_an_end_in_time(self) -> None:
-        """Guards against refusals of requests that could be on time once a short rest is over."""
+        """Guard against refusals of requests that can still be on time after a short back-off."""
         runners = plain_runners(0, 1)
         async with running_bed(configuration(), runners, fronts=1) as bed:
             await send(bed, Random(1), Load(fetch, 20, 0.5))
@@ -203,17 +205,17 @@
 
 
 class AllRestTest(TestCase):
-    """What callers get while all runners of a service rest."""
+    """Answers to callers while all runners of a service back off."""
 
     @virtual
     async def test_refused_at_once(self) -> None:
-        """Guards against callers that wait in vain, or come back all at the same time, while all runners rest."""
+        """Guard against callers that wait in vain, or all retry at the same time, while all runners back off."""
         for runners, load in ((plain_runners(0, 2), patient_fetch), (engines(0, 2), patient_prompt)):
             with self.subTest(load=load):
-                seen, came = await self._all_rest(runners, load)
+                seen, arrived = await self._all_rest(runners, load)
                 self.assertEqual({one.status for one in seen}, {NOT_RUN})
                 self.assertLess(max(one.took_s for one in seen), AT_ONCE_S)
-                self.assertEqual(came, 0)
+                self.assertEqual(arrived, 0)
                 self.assertGreater(len({one.retry_after_s for one in seen}), len(seen) / 2)
                 self.assertGreater(min(one.retry_after_s or 0 for one in seen), EARLIEST_S)
 
@@ -227,18 +229,18 @@
 
 
 class MalformedRestTest(TestCase):
-    """Texts that ask for no rest."""
+    """Unusual texts in the back-off header."""
 
     @virtual
     async def test_malformed(self) -> None:
-        """Guards against runners that are left out, or instances that fall over, for a text that names no time."""
+        """Guard against ejected runners, or instances that fail, because of a text that is not a time."""
         for text in (b'', b'0', b'-1', b'nan', b'inf', b'1e9', b'Thu, 03 Dec 2026 11:00:00 GMT', b'yes', b'\xff'):
             with self.subTest(text=text):
                 self.assertGreater(await self._came_after((text,)), FEW)
 
     @virtual
     async def test_long_ones(self) -> None:
-        """Guards against a rest of a day or more that is not kept as long as its runner lives."""
+        """Guard against a back-off of a day or more that ends before its runner does."""
         for texts in ((b'86400',), (b'9' * 400,), (b'nan', b'86400', b'-1')):
             with self.subTest(texts=texts):
                 self.assertEqual(await self._came_after(texts), 0)
@@ -258,20 +260,20 @@
 
 
 class HintTest(TestCase):
-    """What the others make of a rest that one instance was asked for."""
+    """Other instances during a back-off that one instance was asked for."""
 
     @virtual
     async def test_others_ask_elsewhere(self) -> None:
-        """Guards against a request of each instance to an engine that turns all away."""
+        """Guard against every instance sending a request to an engine that rejects all, because only one knows."""
         runners = engines(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             await rest_under(bed, runners[:1], Load(short_prompt, 90, LENGTH_S / 2))
-        first = runners[0].told[0].at
-        self.assertLess(sum(told.at < first + float(REST) for told in runners[0].told), FRONTS)
+        first_at = runners[0].told[0].at
+        self.assertLess(sum(report.at < first_at + float(REST) for report in runners[0].told), FRONTS)
 
     @virtual
     async def test_asked_where_no_other_is_there(self) -> None:
-        """Guards against callers that are refused for a rest that was asked of another instance."""
+        """Guard against refusals by an instance that was not asked for back-off itself and has only this runner."""
         runners = plain_runners(0, 1)
         async with running_bed(configuration(), runners, fronts=2) as bed:
             await send(bed, Random(1), Load(fetch, 20, 0.5))
@@ -284,7 +286,7 @@
 
     @virtual
     async def test_hint_ends(self) -> None:
-        """Guards against a runner that is left out by the others after the rest of one."""
+        """Guard against a runner that other instances exclude after the back-off of one instance has ended."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
             await rest_under(bed, runners[:1], Load(fetch, 90, 1.5))
--- a/tests/front/test_attempt.py
+++ b/tests/front/test_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one runner."""
+"""Attempts of a request at one runner."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class LateTransport:
-    """Has an answer that comes while the process is held up."""
+    """Transport whose answer arrives while the process is suspended."""
 
     peer = ''
 
@@ -40,7 +40,7 @@
         self._bytes = [ANSWER]
 
     async def answer(self, clock: MockClock) -> None:
-        """Let the answer arrive, and the process stand still until patience has ended."""
+        """Make the answer available, and advance the clock past the silence timeout before any task runs."""
         await trio.sleep(PATIENCE_S / 2)
         self._came.set()
         clock.jump(PATIENCE_S)
@@ -55,7 +55,7 @@
         return await trio.sleep_forever()
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
     def quiet(self) -> bool:
         return False
@@ -65,7 +65,7 @@
 
 
 class LateNetwork:
-    """Connects to one such transport."""
+    """Network that connects every address to one transport."""
 
     def __init__(self, transport: LateTransport) -> None:
         self._transport = transport
@@ -76,13 +76,13 @@
 
 
 class RecordingConn:
-    """Takes what goes to the caller, with a checkpoint before as a socket has."""
+    """Connection to the caller that counts heads, with a checkpoint before each write as on a socket."""
 
     def __init__(self) -> None:
         self.heads = 0
 
     def check_caller(self) -> None:
-        """Find the caller there."""
+        """Report no disconnect."""
 
     async def begin(self, status: int, headers: Headers) -> None:
         await trio.lowlevel.checkpoint()
@@ -93,16 +93,14 @@
 
 
 class AttemptTest(TestCase):
-    """The moments at which an attempt may end."""
+    """Ends of an attempt."""
 
     @virtual
     async def test_first_event_at_end_of_patience(self) -> None:
-        """The first event and the end of patience come together.
+        """Guard against an attempt that is cancelled by the silence timeout while it sends the head to the caller.
 
-        The process was held up; it wakes with both. The attempt was cancelled
-        while its first bytes went out, and the next one wrote into an answer
-        whose head had never been sent. Either nothing is begun, or the head
-        is out.
+        After a suspension of the process the first event and the timeout come at the same moment.
+        The next attempt then wrote into an answer whose head had never been sent.
         """
         clock: MockClock = trio.lowlevel.current_clock()  # type: ignore[assignment]
         transport = LateTransport()
--- a/tests/front/test_bad_input.py
+++ b/tests/front/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers must not send: a clear answer, and nothing reaches a runner."""
+"""Malformed, oversized and smuggled requests of callers: rejected, and kept from runners."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def send_raw(bed: PlatformBed, raw: str) -> bytes:
-    """Send bytes to the first front and return all that comes within two seconds."""
+    """Send ``raw`` to the first instance and return all that it answers within two seconds."""
     transport = await bed.network.seen_from('10.2.0.9').connect(bed.fronts['front-1'].cfg.listen, 1)
     await transport.send_all(raw.encode())
     received = b''
@@ -26,7 +26,7 @@
 
 
 def runs(bed: PlatformBed) -> int:
-    """Return how many requests reached any runner."""
+    """Return how many requests the runners have run."""
     return sum(len(runner.runs) for runner in bed.runners.values())
 
 
@@ -35,9 +35,9 @@
 
     @virtual
     async def test_reject_two_lengths(self) -> None:
-        """Read by one length, the body ends early and a second request follows.
+        """Guard against request smuggling by a request with two lengths.
 
-        A runner behind might run that second one, which no caller sent.
+        By one of them the body ends early and a second request follows, which a runner might run.
         """
         async with running_bed(configuration(), fleet()) as bed:
             raw = f'{HEAD}Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /thumb/a HTTP/1.1\r\n\r\n'
@@ -46,6 +46,7 @@
 
     @virtual
     async def test_reject_long_body(self) -> None:
+        """Guard against runners that get a body over the configured size."""
         async with running_bed(configuration(), fleet()) as bed:
             raw = f'{HEAD}Content-Length: 100001\r\n\r\n{"x" * 100001}'
             self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 413'))
@@ -53,6 +54,7 @@
 
     @virtual
     async def test_reject_long_head(self) -> None:
+        """Guard against runners that get a head over the configured size."""
         async with running_bed(configuration(), fleet()) as bed:
             raw = f'{HEAD}X: {"x" * 20000}\r\n\r\n'
             self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 431'))
@@ -60,11 +62,13 @@
 
     @virtual
     async def test_reject_no_http(self) -> None:
+        """Guard against a connection without an answer after bytes that are not HTTP."""
         async with running_bed(configuration(), fleet()) as bed:
             self.assertTrue((await send_raw(bed, 'nonsense\r\n\r\n')).startswith(b'HTTP/1.1 400'))
 
     @virtual
     async def test_reject_malformed_counts(self) -> None:
+        """Guard against runners that get a token count that is not a number."""
         async with running_bed(configuration(), fleet()) as bed:
             raw = f'{HEAD}Sesamepoint-Token-Count: many\r\nContent-Length: 0\r\n\r\n'
             self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 400'))
@@ -72,7 +76,7 @@
 
     @virtual
     async def test_hidden_request_in_body(self) -> None:
-        """A body that looks like a request stays a body."""
+        """Guard against a body that is parsed as a second request."""
         async with running_bed(configuration(), fleet()) as bed:
             hidden = 'GET /thumb/a HTTP/1.1\r\nHost: x\r\n\r\n'
             await send_raw(bed, f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}')
@@ -80,7 +84,7 @@
 
     @virtual
     async def test_listed_headers_kept(self) -> None:
-        """A Connection header that lists the request id must not strip it."""
+        """Guard against a Connection header that makes the instance remove the request id."""
         async with running_bed(configuration(), fleet()) as bed:
             raw = f'{HEAD}Connection: sesamepoint-request-id, x-gone\r\nX-Gone: 1\r\nContent-Length: 0\r\n\r\n'
             await send_raw(bed, raw)
