--- a/tests/front/burst.py
+++ b/tests/front/burst.py
@@ -87,15 +87,15 @@
     The time to the first event counts from the first attempt.
     """
     started_at = trio.current_time()
-    seen = await bed.caller(f'front-{front}').ask(req)
-    refusals = [seen] if seen.status == REFUSED else []
-    if seen.status == REFUSED:
-        await trio.sleep(seen.retry_after_s or 0)
+    answer = await bed.caller(f'front-{front}').ask(req)
+    refusals = [answer] if answer.status == REFUSED else []
+    if answer.status == REFUSED:
+        await trio.sleep(answer.retry_after_s or 0)
         retried_after_s = trio.current_time() - started_at
         req = req._replace(request_id=f'{req.request_id}b', deadline_s=req.deadline_s - retried_after_s)
-        seen = await bed.caller(f'front-{front % FRONTS + 1}').ask(req)
-        seen = seen._replace(first_s=retried_after_s + seen.first_s)
-    found.append(Answered(req, seen, refusals))
+        answer = await bed.caller(f'front-{front % FRONTS + 1}').ask(req)
+        answer = answer._replace(first_s=retried_after_s + answer.first_s)
+    found.append(Answered(req, answer, refusals))
 
 
 def served(found: list[Answered], within_s: float) -> float:
@@ -106,8 +106,8 @@
 async def play_burst(seed: int) -> tuple[list[Answered], list[Answered]]:
     """Run the burst on a new deployment and return the long and the short requests."""
     runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        return await play(bed, Random(seed))
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+        return await play(bench, Random(seed))
 
 
 __all__ = (
--- a/tests/front/harmful.py
+++ b/tests/front/harmful.py
@@ -75,28 +75,28 @@
 
     Between attempts it pauses for the time that the answer names.
     """
-    seen = None
+    answer = None
     for number, front in enumerate(fronts):
-        seen = await bed.caller(front).ask(req._replace(request_id=f'{req.request_id}-{number}'))
-        if seen.status == GOOD and seen.whole:
+        answer = await bed.caller(front).ask(req._replace(request_id=f'{req.request_id}-{number}'))
+        if answer.status == GOOD and answer.whole:
             break
-        await trio.sleep(min(seen.retry_after_s or SOON_S, LONGEST_WAIT_S))
-    if seen is not None:
-        found.append(seen)
+        await trio.sleep(min(answer.retry_after_s or SOON_S, LONGEST_WAIT_S))
+    if answer is not None:
+        found.append(answer)
 
 
 async def ask_all(bed: PlatformBed, fronts: Iterable[str], req: Asked) -> list[Seen]:
     """Send ``req`` to all ``fronts`` at the same moment, each time under another id; return the answers."""
-    seen: list[Seen] = []
+    answers: list[Seen] = []
 
     async def ask(front: str, number: int) -> None:
         attempt = req._replace(request_id=f'{req.request_id}-{number}')
-        seen.append(await bed.caller(front).ask(attempt))
+        answers.append(await bed.caller(front).ask(attempt))
 
     async with trio.open_nursery() as nursery:
         for number, front in enumerate(fronts):
             nursery.start_soon(ask, front, number)
-    return seen
+    return answers
 
 
 async def ask_sound(bed: PlatformBed, rng: Random, found: list[Seen], nursery: trio.Nursery) -> None:
--- a/tests/front/harmful_faults.py
+++ b/tests/front/harmful_faults.py
@@ -58,11 +58,11 @@
     """Run one seed and return the violations."""
     runners = [plain_runner(number) for number in range(1, 4)]
     runners += all_end_on_it(engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 9))
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        simulation = HarmfulWorld(bed, Random(seed))
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+        simulation = HarmfulWorld(bench, Random(seed))
         await simulation.play()
         violations = [line for line in broken_promises(simulation) if not line.startswith('unasked')]
-        later = sent_later(bed)
+        later = sent_later(bench)
         if later > SENT_LATER:
             violations.append(f'harmful: sent {later} times after the time allowed for detection')
         ordinary = [outcome.asked.request_id for outcome in simulation.outcomes if REFUSAL in outcome.seen.body]
--- a/tests/front/limit_faults.py
+++ b/tests/front/limit_faults.py
@@ -90,8 +90,8 @@
     rng = Random(seed)
     runners = [plain_runner(number) for number in range(1, 5)]
     runners += [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 8)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        simulation = LimitWorld(bed, rng)
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+        simulation = LimitWorld(bench, rng)
         await simulation.play()
         return [*broken_promises(simulation), *simulation.over_limits()]
 
--- a/tests/front/limited.py
+++ b/tests/front/limited.py
@@ -56,17 +56,17 @@
 async def send(bed: PlatformBed, rng: Random, load: Load, fronts: Iterable[str] = ()) -> list[Seen]:
     """Send ``load`` to ``fronts``, or to all instances if there are none given; return the answers."""
     names = tuple(fronts) or tuple(bed.fronts)
-    seen: list[Seen] = []
+    answers: list[Seen] = []
 
     async def ask(req: Asked) -> None:
-        seen.append(await bed.caller(rng.choice(names)).ask(req))
+        answers.append(await bed.caller(rng.choice(names)).ask(req))
 
     async with trio.open_nursery() as nursery:
         ends_at = trio.current_time() + load.length_s
         while trio.current_time() < ends_at:
             await trio.sleep(rng.expovariate(load.rate))
             nursery.start_soon(ask, load.request())
-    return seen
+    return answers
 
 
 def limited(bed: PlatformBed) -> list[RunnerStandIn]:
--- a/tests/front/random_faults.py
+++ b/tests/front/random_faults.py
@@ -96,8 +96,8 @@
             nursery.start_soon(self._ask, self._request(), self._rng.randint(1, FRONTS))
 
     async def _ask(self, req: Asked, front: int) -> None:
-        seen = await self.bed.caller(f'front-{front}').ask(req)
-        self.outcomes.append(Outcome(req, seen, trio.current_time()))
+        answer = await self.bed.caller(f'front-{front}').ask(req)
+        self.outcomes.append(Outcome(req, answer, trio.current_time()))
 
     def _request(self) -> Asked:
         deadline_s = self._rng.choice((0.05, 0.3, 2.0, 2.0, 2.0))
@@ -107,8 +107,8 @@
         tokens = 3000 if path == '/verdict/a' else 300
         # Some callers disconnect long before their deadline.
         timeout_s = self._rng.choice((0.03, math.inf, math.inf))
-        shared = (f'k{self._rng.randint(1, 20)}', 9000)
-        return asked_prompt(path, tokens, shared, deadline_s=deadline_s, first_limit_s=timeout_s)
+        shared_prefix = (f'k{self._rng.randint(1, 20)}', 9000)
+        return asked_prompt(path, tokens, shared_prefix, deadline_s=deadline_s, first_limit_s=timeout_s)
 
     def _any_runner(self) -> RunnerStandIn:
         return self._rng.choice([runner for runner in self.bed.runners.values() if not runner.leaving])
@@ -209,14 +209,14 @@
 def broken_of_request(one: Outcome, runs: int) -> list[str]:
     """Return a message for each violation of a request that ran ``runs`` times."""
     messages = []
-    req, seen = one.asked, one.seen
-    if seen.status == SUCCESS and seen.whole and seen.body != req.expected:
+    req, answer = one.asked, one.seen
+    if answer.status == SUCCESS and answer.whole and answer.body != req.expected:
         messages.append(f'mixed: {req.request_id} got a body that is not its own')
-    if seen.status == SUCCESS and not req.expected.startswith(seen.body):
+    if answer.status == SUCCESS and not req.expected.startswith(answer.body):
         messages.append(f'order: {req.request_id} got parts that are not the beginning of its answer')
     if req.path in ONCE and runs > 1:
         messages.append(f'twice: {req.request_id} ran {runs} times')
-    if seen.status == NOT_RUN and runs:
+    if answer.status == NOT_RUN and runs:
         messages.append(f'refused: {req.request_id} was answered as not run, but ran')
     return messages
 
@@ -226,8 +226,8 @@
     rng = Random(seed)
     runners = [plain_runner(1), plain_runner(2), plain_runner(3)]
     runners += [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 6)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        simulation = World(bed, rng)
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+        simulation = World(bench, rng)
         await simulation.play()
         return broken_promises(simulation)
 
--- a/tests/front/soak.py
+++ b/tests/front/soak.py
@@ -157,26 +157,26 @@
 
     async def _ask(self, req: Asked, front: int) -> bool:
         self.words.asked_at[req.request_id] = front
-        seen = await caller_of(self._bed.fronts[front]).ask(req)
-        self.outcomes.append(Outcome(req, seen, trio.current_time()))
-        return seen.status == 200 and seen.whole
+        answer = await caller_of(self._bed.fronts[front]).ask(req)
+        self.outcomes.append(Outcome(req, answer, trio.current_time()))
+        return answer.status == 200 and answer.whole
 
     def _request(self) -> Asked:
         timeout_s = self._rng.choice((0.02, math.inf, math.inf, math.inf))
         path = self._rng.choice(('/card/a', '/thumb/a', '/tag/a', '/verdict/a'))
         if path in {'/card/a', '/thumb/a'}:
             return asked(path, deadline_s=2.0, extra=SHOWN)
-        shared = (f'k{self._rng.randint(1, 9)}', 9000)
-        return asked_prompt(path, 500, shared, output=20, deadline_s=3.0, first_limit_s=timeout_s, extra=SHOWN)
+        shared_prefix = (f'k{self._rng.randint(1, 9)}', 9000)
+        return asked_prompt(path, 500, shared_prefix, output=20, deadline_s=3.0, first_limit_s=timeout_s, extra=SHOWN)
 
     async def _freeze_front(self) -> None:
-        place = self._rng.randrange(FRONTS)
+        index = self._rng.randrange(FRONTS)
         began_at = trio.current_time()
-        front = self._bed.fronts[place].process
+        front = self._bed.fronts[index].process
         _signal(front, signal.SIGSTOP)
         await trio.sleep(self._rng.uniform(0.1, LONGEST_FREEZE_S))
         _signal(front, signal.SIGCONT)
-        self._note_disturbed(place, began_at)
+        self._note_disturbed(index, began_at)
 
     async def _kill_front(self) -> None:
         await self._end_front(signal.SIGKILL)
@@ -186,19 +186,19 @@
 
     async def _end_front(self, number: signal.Signals) -> None:
         """Send a front a signal that ends it, and restart it unless another task is doing that already."""
-        place = self._rng.randrange(FRONTS)
-        process = self._bed.fronts[place].process
+        index = self._rng.randrange(FRONTS)
+        process = self._bed.fronts[index].process
         _signal(process, number)
-        if place in self._down:
+        if index in self._down:
             return
-        self._down.add(place)
+        self._down.add(index)
         began_at = trio.current_time()
         await process.wait()
         await trio.sleep(self._rng.uniform(0, 0.5))
         self._restarts += 1
-        await self._bed.restart_front(place)
-        self._down.discard(place)
-        self._note_disturbed(place, began_at)
+        await self._bed.restart_front(index)
+        self._down.discard(index)
+        self._note_disturbed(index, began_at)
 
     async def _reload_front(self) -> None:
         await self.reload_front(self._rng.randrange(FRONTS))
@@ -251,11 +251,11 @@
         with trio.fail_after(RECOVER_S):
             for front in self._bed.fronts:
                 await self._bed.until_ready(front)
-            for place in range(FRONTS):
+            for index in range(FRONTS):
                 for path in ('/card/a', '/thumb/a'):
-                    await self._until(place, asked, path)
+                    await self._until(index, asked, path)
                 for path in ('/tag/a', '/verdict/a'):
-                    await self._until(place, asked_prompt, path)
+                    await self._until(index, asked_prompt, path)
 
     async def _until(self, place: int, build: Callable[..., Asked], path: str) -> None:
         while not await self._ask(build(path, extra=SHOWN), place):
@@ -276,11 +276,11 @@
     """Run one seed and return the violations."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
-            bed = SoakBed(nursery, Path(folder))
+            bench = SoakBed(nursery, Path(folder))
             try:
-                return await _play_on(bed, Random(seed), length_s)
+                return await _play_on(bench, Random(seed), length_s)
             finally:
-                bed.end()
+                bench.end()
                 nursery.cancel_scope.cancel()
 
 
--- a/tests/front/test_account_flood.py
+++ b/tests/front/test_account_flood.py
@@ -66,8 +66,8 @@
         served = False
         for _ in range(tries):
             req = long_prompt(self._rng, extra=(bearer(_key(name)),))
-            seen = await self._bed.caller(f'front-{self._rng.randint(1, FRONTS)}').ask(req)
-            served = seen.status == SERVED and seen.whole
+            answer = await self._bed.caller(f'front-{self._rng.randint(1, FRONTS)}').ask(req)
+            served = answer.status == SERVED and answer.whole
             if served:
                 break
         self.asked.append(Asked(name, served))
@@ -90,8 +90,8 @@
         for seed in SEEDS:
             cfg = configuration(1, tenants=[account(name, _key(name)) for name in (*SMALL, LARGE)])
             runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
-            async with running_bed(cfg, runners, fronts=FRONTS) as bed:
-                flood = Flood(bed, seed)
+            async with running_bed(cfg, runners, fronts=FRONTS) as bench:
+                flood = Flood(bench, seed)
                 await flood.play()
                 self.assertGreater(flood.share(SMALL), flood.share((*SMALL, LARGE)) / 4)
                 served |= {one.account for one in flood.asked if one.served}
--- a/tests/front/test_accounts.py
+++ b/tests/front/test_accounts.py
@@ -72,13 +72,13 @@
     async def test_known_key_names_its_account(self) -> None:
         """Guard against runners that get the key, or an account name that the caller set."""
         runners = fleet()
-        async with running_bed(_with(HARBOR, MARINA), runners) as bed:
+        async with running_bed(_with(HARBOR, MARINA), runners) as bench:
             headers = (bearer(SECRET), FORGED)
             plain = [asked(path, extra=headers) for path in ('/card/a', '/thumb/a')]
             prompts = [asked_prompt(path, tokens=4000, extra=headers) for path in ('/tag/a', '/verdict/a')]
             for one in (*plain, *prompts):
-                seen = await bed.caller('front-1').ask(one)
-                self.assertEqual(seen.status, 200)
+                answer = await bench.caller('front-1').ask(one)
+                self.assertEqual(answer.status, 200)
         received = [name for runner in runners for name in _account_at(runner)]
         self.assertGreaterEqual(len(received), 4)
         self.assertEqual(set(received), {b'harbor'})
@@ -100,48 +100,48 @@
             (bearer(SECRET), bearer(SECRET)),
         )
         runners = fleet()
-        async with running_bed(_with(HARBOR), runners) as bed:
+        async with running_bed(_with(HARBOR), runners) as bench:
             for extra in rejected:
-                seen = await bed.caller('front-1').ask(asked('/card/a', extra=extra))
-                self.assertEqual(seen.status, 401, extra)
-                self.assertLess(seen.took_s, 0.02)
+                answer = await bench.caller('front-1').ask(asked('/card/a', extra=extra))
+                self.assertEqual(answer.status, 401, extra)
+                self.assertLess(answer.took_s, 0.02)
         self.assertEqual([runner.runs for runner in runners], [[], [], [], [], []])
 
     @virtual
     async def test_scheme_in_other_case_is_the_same_scheme(self) -> None:
         """Guard against denials for the case of the scheme, which does not matter, unlike that of the key."""
-        async with running_bed(_with(HARBOR), fleet()) as bed:
+        async with running_bed(_with(HARBOR), fleet()) as bench:
             extra = ((b'authorization', f'bEARER {SECRET}'.encode()),)
-            seen = await bed.caller('front-1').ask(asked('/card/a', extra=extra))
-        self.assertEqual(seen.status, 200)
+            answer = await bench.caller('front-1').ask(asked('/card/a', extra=extra))
+        self.assertEqual(answer.status, 200)
 
     @virtual
     async def test_public_route_needs_no_key(self) -> None:
         """Guard against denials on public routes, and against runners that get keys or account names set by callers."""
         routes = [route('thumb', '/thumb/', 'web', 'idempotent', public=True)]
         runner = plain_runner(1)
-        async with running_bed(_with(HARBOR, routes=routes), [runner]) as bed:
+        async with running_bed(_with(HARBOR, routes=routes), [runner]) as bench:
             for extra in ((), (bearer('nobodys'),), (FORGED,)):
-                seen = await bed.caller('front-1').ask(asked('/thumb/a', extra=extra))
-                self.assertEqual(seen.status, 200)
+                answer = await bench.caller('front-1').ask(asked('/thumb/a', extra=extra))
+                self.assertEqual(answer.status, 200)
         self.assertEqual(_account_at(runner), [None, None, None])
         self.assertEqual({header(run.message.head.headers, names.AUTHORIZATION) for run in runner.runs}, {None})
 
     @virtual
     async def test_without_accounts_nothing_is_asked(self) -> None:
         """Guard against denials of callers without keys where the configuration lists no accounts."""
-        async with running_bed(configuration(), fleet()) as bed:
-            seen = await bed.caller('front-1').ask(asked('/card/a'))
-        self.assertEqual(seen.status, 200)
+        async with running_bed(configuration(), fleet()) as bench:
+            answer = await bench.caller('front-1').ask(asked('/card/a'))
+        self.assertEqual(answer.status, 200)
 
     @virtual
     async def test_account_goes_before_route_in_rank(self) -> None:
         """Guard against engines that get the priority of the route where the account has one of its own."""
         runners = [engine(1, 'decode')]
         ranked = account('marina', 'k3yOfMarina99', priority=3)
-        async with running_bed(_with(HARBOR, ranked), runners) as bed:
+        async with running_bed(_with(HARBOR, ranked), runners) as bench:
             for key in (SECRET, 'k3yOfMarina99'):
-                await bed.caller('front-1').ask(asked_prompt('/verdict/a', extra=(bearer(key),)))
+                await bench.caller('front-1').ask(asked_prompt('/verdict/a', extra=(bearer(key),)))
         ranks = [header(run.message.head.headers, names.PRIORITY) for run in runners[0].runs]
         self.assertEqual(ranks, [b'1', b'3'])
 
@@ -153,28 +153,28 @@
     async def test_changes_on_a_kept_connection(self) -> None:
         """Guard against instances that keep applying old keys to connections opened before a change."""
         runner = plain_runner(1)
-        async with running_bed(_with(HARBOR, MARINA), [runner], fronts=3) as bed:
-            callers = [bed.caller(name) for name in bed.fronts]
+        async with running_bed(_with(HARBOR, MARINA), [runner], fronts=3) as bench:
+            callers = [bench.caller(name) for name in bench.fronts]
             key_moved = account('marina', 'k3yOfMarina99', SECRET)
             steps = ((2, key_moved, 200), (3, MARINA, 401), (4, HARBOR, 200))
             for version, listed, status in steps:
-                bed.publish(_with(listed, version=version))
+                bench.publish(_with(listed, version=version))
                 await trio.sleep(IN_FORCE_S)
                 for caller in callers:
-                    seen = await caller.ask(asked('/card/a', extra=(bearer(SECRET),)))
-                    self.assertEqual(seen.status, status)
+                    answer = await caller.ask(asked('/card/a', extra=(bearer(SECRET),)))
+                    self.assertEqual(answer.status, status)
         self.assertEqual(_account_at(runner), [b'marina', b'marina', b'marina', b'harbor', b'harbor', b'harbor'])
 
     @virtual
     async def test_older_list_never_comes_back(self) -> None:
         """Guard against revoked keys that work again because the store returns an older configuration."""
-        async with running_bed(_with(HARBOR, version=5), [plain_runner(1)]) as bed:
-            bed.publish(_with(MARINA, version=6))
+        async with running_bed(_with(HARBOR, version=5), [plain_runner(1)]) as bench:
+            bench.publish(_with(MARINA, version=6))
             await trio.sleep(IN_FORCE_S)
-            bed.publish(_with(HARBOR, version=5))
+            bench.publish(_with(HARBOR, version=5))
             await trio.sleep(IN_FORCE_S)
-            seen = await bed.caller('front-1').ask(asked('/card/a', extra=(bearer(SECRET),)))
-        self.assertEqual(seen.status, 401)
+            answer = await bench.caller('front-1').ask(asked('/card/a', extra=(bearer(SECRET),)))
+        self.assertEqual(answer.status, 401)
 
     @virtual
     async def test_key_taken_while_its_request_waits(self) -> None:
@@ -183,42 +183,42 @@
         Its long prompt waits behind others for a busy engine when the operator removes the account.
         """
         runners = [engine(1, 'decode')]
-        async with running_bed(_with(HARBOR, MARINA), runners) as bed, trio.open_nursery() as nursery:
+        async with running_bed(_with(HARBOR, MARINA), runners) as bench, trio.open_nursery() as nursery:
             for number in range(40):
                 earlier = asked_prompt(
                     '/verdict/a', tokens=9000, shared=(f's{number}', 9000), extra=(bearer('k3yOfMarina99'),)
                 )
-                nursery.start_soon(bed.caller('front-1').ask, earlier)
+                nursery.start_soon(bench.caller('front-1').ask, earlier)
             await trio.sleep(0.05)
             queued = asked_prompt('/tag/a', tokens=3000, extra=(bearer(SECRET),))
-            pending = Asking(bed, queued, nursery)
+            pending = Asking(bench, queued, nursery)
             await trio.sleep(0.01)
             waits = not pending.seen
-            bed.publish(_with(MARINA, version=2))
+            bench.publish(_with(MARINA, version=2))
             await trio.sleep(IN_FORCE_S)
             nursery.cancel_scope.cancel()
         self.assertTrue(waits)
-        self.assertEqual([seen.status for seen in pending.seen], [401])
+        self.assertEqual([answer.status for answer in pending.seen], [401])
         self.assertNotIn(b'harbor', _account_at(runners[0]))
 
     @virtual
     async def test_key_taken_while_its_request_runs(self) -> None:
         """Guard against a running request that is broken off because its key is revoked."""
         runner = plain_runner(1, work_s=0.8)
-        async with running_bed(_with(HARBOR), [runner]) as bed, trio.open_nursery() as nursery:
-            pending = Asking(bed, asked('/card/a', extra=(bearer(SECRET),)), nursery)
+        async with running_bed(_with(HARBOR), [runner]) as bench, trio.open_nursery() as nursery:
+            pending = Asking(bench, asked('/card/a', extra=(bearer(SECRET),)), nursery)
             await trio.sleep(0.1)
-            bed.publish(_with(MARINA, version=2))
-        self.assertEqual([seen.status for seen in pending.seen], [200])
+            bench.publish(_with(MARINA, version=2))
+        self.assertEqual([answer.status for answer in pending.seen], [200])
 
     @virtual
     async def test_unconfigured_instance_denies_nobody(self) -> None:
         """Guard against 401 from an instance that has no configuration yet; it must answer 503."""
-        async with running_bed(_with(HARBOR), [plain_runner(1)]) as bed:
-            bed.store.down = True
-            bed.add_front(2)
-            seen = await bed.caller('front-2').ask(asked('/card/a', extra=(bearer('nobodys'),), deadline_s=1.0))
-        self.assertEqual(seen.status, 503)
+        async with running_bed(_with(HARBOR), [plain_runner(1)]) as bench:
+            bench.store.down = True
+            bench.add_front(2)
+            answer = await bench.caller('front-2').ask(asked('/card/a', extra=(bearer('nobodys'),), deadline_s=1.0))
+        self.assertEqual(answer.status, 503)
 
 
 class SecretTest(TestCase):
@@ -245,16 +245,16 @@
     runners = fleet()
     runners[1].faults.fails = True
     requests = (('/card/a', SECRET), ('/thumb/a', SECRET), ('/card/b', f'{SECRET}x'), ('/x', SECRET))
-    async with running_bed(_with(HARBOR), runners, fronts=2) as bed:
+    async with running_bed(_with(HARBOR), runners, fronts=2) as bench:
         for path, key in requests:
-            await bed.caller('front-1').ask(asked(path, extra=(bearer(key),)))
-            await bed.caller('front-2').ask(asked(path, extra=(bearer(key),)))
-        bed.publish(_with(HARBOR, account('marina', SECRET), version=2))
-        bed.publish(_with(account('marina', f'{SECRET}2'), version=3))
+            await bench.caller('front-1').ask(asked(path, extra=(bearer(key),)))
+            await bench.caller('front-2').ask(asked(path, extra=(bearer(key),)))
+        bench.publish(_with(HARBOR, account('marina', SECRET), version=2))
+        bench.publish(_with(account('marina', f'{SECRET}2'), version=3))
         await trio.sleep(IN_FORCE_S)
-        pages = [generate_latest(one.dispatcher.metrics.registry).decode() for one in bed.fronts.values()]
-        configurations = [repr(one.dispatcher.configuration) for one in bed.fronts.values()]
-        return repr((pages, configurations, bed.network.datagrams))
+        pages = [generate_latest(one.dispatcher.metrics.registry).decode() for one in bench.fronts.values()]
+        configurations = [repr(one.dispatcher.configuration) for one in bench.fronts.values()]
+        return repr((pages, configurations, bench.network.datagrams))
 
 
 class ListTest(TestCase):
--- a/tests/front/test_asked_for_rest.py
+++ b/tests/front/test_asked_for_rest.py
@@ -87,16 +87,16 @@
     async def test_engine_asks_for_rest(self) -> None:
         """Guard against requests to an engine during the back-off that it asked for."""
         runners = engines(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[:1], Load(short_prompt, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[:1], Load(short_prompt, 90, LENGTH_S))
         self.assertEqual(in_rest(runners[0]), [])
 
     @virtual
     async def test_plain_runner_asks_for_rest(self) -> None:
         """Guard against requests to a plain runner during the back-off that it asked for."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[:1], Load(fetch, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[:1], Load(fetch, 90, LENGTH_S))
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
     @virtual
@@ -104,8 +104,8 @@
         """Guard against remote prefills and calls to free memory at an engine during a back-off."""
         runners = engines(0, 4)
         load = Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[-1:], load)
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[-1:], load)
         self.assertTrue(runners[-1].told)
         self.assertEqual(in_rest(runners[-1], AT_ONCE_S, 0), [])
 
@@ -114,8 +114,8 @@
         """Guard against decode steps at an engine during a back-off that were planned before it."""
         runners = engines(0, 4)
         load = Load(partial(asked_prompt, '/tag/a', 3000), 60, LENGTH_S)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[:1], load)
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[:1], load)
         self.assertTrue(runners[0].told)
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
@@ -125,8 +125,8 @@
         runners = engines(0, 4)
         runners[0].tells_kept = False
         runners[0].asks_rest = (REST,)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await send(bed, Random(1), Load(short_prompt, 90, 2))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await send(bench, Random(1), Load(short_prompt, 90, 2))
         self.assertEqual(len({report.sender for report in runners[0].told}), FRONTS)
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
@@ -136,36 +136,36 @@
         runners = plain_runners(0, 4)
         runners[0].faults.rejects = True
         runners[0].asks_rest = (b'1', b'5', b'2')
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await send(bed, Random(1), Load(fetch, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await send(bench, Random(1), Load(fetch, 90, LENGTH_S))
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
     @virtual
     async def test_starts_again(self) -> None:
         """Guard against a back-off that still applies to a runner after its restart under the same key."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].faults.rejects = True
             runners[0].asks_rest = (b'86400',)
-            await send(bed, Random(1), Load(fetch, 90, 1))
+            await send(bench, Random(1), Load(fetch, 90, 1))
             runners[0].faults.rejects = False
             runners[0].start_again(1_700_000_000_000)
-            bed.store.put('keyed.servers', runners[0].key, runners[0].record)
+            bench.store.put('keyed.servers', runners[0].key, runners[0].record)
             await trio.sleep(1)
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 90, 2))
+            await send(bench, Random(2), Load(fetch, 90, 2))
         self.assertGreater(runners[0].arrived(since, math.inf), 20)
 
     @virtual
     async def test_sent_back_by_a_hundred_at_a_time(self) -> None:
         """Guard against sends of requests that wait for a connection when their runner asks for back-off."""
         runners = plain_runners(0, 2)
-        async with running_bed(configuration(), runners, fronts=1) as bed:
-            await send(bed, Random(1), Load(fetch, 60, 1))
+        async with running_bed(configuration(), runners, fronts=1) as bench:
+            await send(bench, Random(1), Load(fetch, 60, 1))
             runners[0].faults.rejects = True
             runners[0].asks_rest = (REST,)
-            bed.network.connect_s = SLOW_CONNECT_S
-            await send(bed, Random(2), Load(fetch, 1000, 0.2))
+            bench.network.connect_s = SLOW_CONNECT_S
+            await send(bench, Random(2), Load(fetch, 1000, 0.2))
         self.assertEqual(in_rest(runners[0], AT_ONCE_S, 0), [])
 
 
@@ -176,14 +176,14 @@
     async def test_filled_gradually(self) -> None:
         """Guard against all waiting requests being sent the moment a back-off ends, and being rejected again."""
         runners = plain_runners(0, 2)
-        async with running_bed(configuration(), runners, fronts=1) as bed:
+        async with running_bed(configuration(), runners, fronts=1) as bench:
             began_at = trio.current_time()
-            await send(bed, Random(1), Load(fetch, 20, 0.5))
+            await send(bench, Random(1), Load(fetch, 20, 0.5))
             ask_for_rest(runners, b'1')
-            await send(bed, Random(2), Load(fetch, 20, 0.5))
+            await send(bench, Random(2), Load(fetch, 20, 0.5))
             end_rest(runners)
             last_asked_at = max(report.at for one in runners for report in one.told)
-            await send(bed, Random(3), Load(fetch, 300, 4))
+            await send(bench, Random(3), Load(fetch, 300, 4))
         first = [one.arrived(last_asked_at, last_asked_at + 1 + FIRST_S) for one in runners]
         last = [one.arrived(began_at + 4, began_at + 5) for one in runners]
         self.assertLessEqual(max(first), FEW)
@@ -193,15 +193,15 @@
     async def test_waits_for_an_end_in_time(self) -> None:
         """Guard against refusals of requests that can still be on time after a short back-off."""
         runners = plain_runners(0, 1)
-        async with running_bed(configuration(), runners, fronts=1) as bed:
-            await send(bed, Random(1), Load(fetch, 20, 0.5))
+        async with running_bed(configuration(), runners, fronts=1) as bench:
+            await send(bench, Random(1), Load(fetch, 20, 0.5))
             runners[0].faults.rejects = True
             runners[0].asks_rest = (b'0.1',)
-            await bed.caller('front-1').ask(fetch())
+            await bench.caller('front-1').ask(fetch())
             runners[0].faults.rejects = False
-            seen = await bed.caller('front-1').ask(fetch())
-        self.assertEqual(seen.status, GOOD)
-        self.assertLess(seen.took_s, ON_TIME_S)
+            answer = await bench.caller('front-1').ask(fetch())
+        self.assertEqual(answer.status, GOOD)
+        self.assertLess(answer.took_s, ON_TIME_S)
 
 
 class AllRestTest(TestCase):
@@ -212,20 +212,20 @@
         """Guard against callers that wait in vain, or all retry at the same time, while all runners back off."""
         for runners, load in ((plain_runners(0, 2), patient_fetch), (engines(0, 2), patient_prompt)):
             with self.subTest(load=load):
-                seen, arrived = await self._all_rest(runners, load)
-                self.assertEqual({one.status for one in seen}, {NOT_RUN})
-                self.assertLess(max(one.took_s for one in seen), AT_ONCE_S)
+                answers, arrived = await self._all_rest(runners, load)
+                self.assertEqual({one.status for one in answers}, {NOT_RUN})
+                self.assertLess(max(one.took_s for one in answers), AT_ONCE_S)
                 self.assertEqual(arrived, 0)
-                self.assertGreater(len({one.retry_after_s for one in seen}), len(seen) / 2)
-                self.assertGreater(min(one.retry_after_s or 0 for one in seen), EARLIEST_S)
+                self.assertGreater(len({one.retry_after_s for one in answers}), len(answers) / 2)
+                self.assertGreater(min(one.retry_after_s or 0 for one in answers), EARLIEST_S)
 
     async def _all_rest(self, runners: list[RunnerStandIn], load: Callable[[], Asked]) -> tuple[list[Seen], int]:
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             ask_for_rest(runners, b'5')
-            await send(bed, Random(1), Load(load, 60, 1))
+            await send(bench, Random(1), Load(load, 60, 1))
             since = trio.current_time()
-            seen = await send(bed, Random(2), Load(load, 60, 1))
-        return seen, sum(one.arrived(since, math.inf) for one in runners)
+            answers = await send(bench, Random(2), Load(load, 60, 1))
+        return answers, sum(one.arrived(since, math.inf) for one in runners)
 
 
 class MalformedRestTest(TestCase):
@@ -247,15 +247,15 @@
 
     async def _came_after(self, texts: tuple[bytes, ...]) -> int:
         runners = plain_runners(0, 2)
-        async with running_bed(configuration(), runners, fronts=2) as bed:
+        async with running_bed(configuration(), runners, fronts=2) as bench:
             runners[0].faults.rejects = True
             runners[0].asks_rest = texts
-            await send(bed, Random(1), Load(fetch, 60, 0.5))
+            await send(bench, Random(1), Load(fetch, 60, 0.5))
             runners[0].faults.rejects = False
             await trio.sleep(MAX_OUT_S)
             since = trio.current_time()
-            seen = await send(bed, Random(2), Load(fetch, 60, 1.5))
-        self.assertEqual({one.status for one in seen}, {GOOD})
+            answers = await send(bench, Random(2), Load(fetch, 60, 1.5))
+        self.assertEqual({one.status for one in answers}, {GOOD})
         return runners[0].arrived(since, math.inf)
 
 
@@ -266,8 +266,8 @@
     async def test_others_ask_elsewhere(self) -> None:
         """Guard against every instance sending a request to an engine that rejects all, because only one knows."""
         runners = engines(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[:1], Load(short_prompt, 90, LENGTH_S / 2))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[:1], Load(short_prompt, 90, LENGTH_S / 2))
         first_at = runners[0].told[0].at
         self.assertLess(sum(report.at < first_at + float(REST) for report in runners[0].told), FRONTS)
 
@@ -275,23 +275,23 @@
     async def test_asked_where_no_other_is_there(self) -> None:
         """Guard against refusals by an instance that was not asked for back-off itself and has only this runner."""
         runners = plain_runners(0, 1)
-        async with running_bed(configuration(), runners, fronts=2) as bed:
-            await send(bed, Random(1), Load(fetch, 20, 0.5))
+        async with running_bed(configuration(), runners, fronts=2) as bench:
+            await send(bench, Random(1), Load(fetch, 20, 0.5))
             ask_for_rest(runners, REST)
-            await bed.caller('front-1').ask(fetch())
+            await bench.caller('front-1').ask(fetch())
             end_rest(runners)
             await trio.sleep(AT_ONCE_S)
-            seen = await bed.caller('front-2').ask(fetch())
-        self.assertEqual(seen.status, GOOD)
+            answer = await bench.caller('front-2').ask(fetch())
+        self.assertEqual(answer.status, GOOD)
 
     @virtual
     async def test_hint_ends(self) -> None:
         """Guard against a runner that other instances exclude after the back-off of one instance has ended."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await rest_under(bed, runners[:1], Load(fetch, 90, 1.5))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await rest_under(bench, runners[:1], Load(fetch, 90, 1.5))
             end_rest(runners)
             await trio.sleep(float(REST))
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 90, 2))
+            await send(bench, Random(2), Load(fetch, 90, 2))
         self.assertGreater(runners[0].arrived(since, math.inf), 20)
--- a/tests/front/test_bad_input.py
+++ b/tests/front/test_bad_input.py
@@ -39,55 +39,55 @@
 
         By one of them the body ends early and a second request follows, which a runner might run.
         """
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             raw = f'{HEAD}Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /thumb/a HTTP/1.1\r\n\r\n'
-            self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 400'))
-            self.assertEqual(runs(bed), 0)
+            self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 400'))
+            self.assertEqual(runs(bench), 0)
 
     @virtual
     async def test_reject_long_body(self) -> None:
         """Guard against runners that get a body over the configured size."""
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             raw = f'{HEAD}Content-Length: 100001\r\n\r\n{"x" * 100001}'
-            self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 413'))
-            self.assertEqual(runs(bed), 0)
+            self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 413'))
+            self.assertEqual(runs(bench), 0)
 
     @virtual
     async def test_reject_long_head(self) -> None:
         """Guard against runners that get a head over the configured size."""
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             raw = f'{HEAD}X: {"x" * 20000}\r\n\r\n'
-            self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 431'))
-            self.assertEqual(runs(bed), 0)
+            self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 431'))
+            self.assertEqual(runs(bench), 0)
 
     @virtual
     async def test_reject_no_http(self) -> None:
         """Guard against a connection without an answer after bytes that are not HTTP."""
-        async with running_bed(configuration(), fleet()) as bed:
-            self.assertTrue((await send_raw(bed, 'nonsense\r\n\r\n')).startswith(b'HTTP/1.1 400'))
+        async with running_bed(configuration(), fleet()) as bench:
+            self.assertTrue((await send_raw(bench, 'nonsense\r\n\r\n')).startswith(b'HTTP/1.1 400'))
 
     @virtual
     async def test_reject_malformed_counts(self) -> None:
         """Guard against runners that get a token count that is not a number."""
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             raw = f'{HEAD}Sesamepoint-Token-Count: many\r\nContent-Length: 0\r\n\r\n'
-            self.assertTrue((await send_raw(bed, raw)).startswith(b'HTTP/1.1 400'))
-            self.assertEqual(runs(bed), 0)
+            self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 400'))
+            self.assertEqual(runs(bench), 0)
 
     @virtual
     async def test_hidden_request_in_body(self) -> None:
         """Guard against a body that is parsed as a second request."""
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             hidden = 'GET /thumb/a HTTP/1.1\r\nHost: x\r\n\r\n'
-            await send_raw(bed, f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}')
-            self.assertEqual(runs(bed), 1)
+            await send_raw(bench, f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}')
+            self.assertEqual(runs(bench), 1)
 
     @virtual
     async def test_listed_headers_kept(self) -> None:
         """Guard against a Connection header that makes the instance remove the request id."""
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             raw = f'{HEAD}Connection: sesamepoint-request-id, x-gone\r\nX-Gone: 1\r\nContent-Length: 0\r\n\r\n'
-            await send_raw(bed, raw)
-            run = next(run for runner in bed.runners.values() for run in runner.runs)
+            await send_raw(bench, raw)
+            run = next(run for runner in bench.runners.values() for run in runner.runs)
             self.assertEqual(run.request_id, 'q1')
             self.assertNotIn(b'x-gone', dict(run.message.head.headers))
