--- a/tests/front/test_accounts.py
+++ b/tests/front/test_accounts.py
@@ -109,7 +109,7 @@
 
     @virtual
     async def test_scheme_in_other_case_is_the_same_scheme(self) -> None:
-        """Guard against denials for the case of the scheme, which does not matter, unlike that of the key."""
+        """Guard against denials because of the case of the scheme; only keys are case-sensitive."""
         async with running_bed(_with(HARBOR), fleet()) as bench:
             extra = ((b'authorization', f'bEARER {SECRET}'.encode()),)
             answer = await bench.caller('front-1').ask(asked('/card/a', extra=extra))
--- a/tests/front/test_attempt.py
+++ b/tests/front/test_attempt.py
@@ -100,7 +100,8 @@
         """Guard against an attempt that is cancelled by the silence timeout while it sends the head to the caller.
 
         After a suspension of the process the first event and the timeout come at the same moment.
-        The next attempt then wrote into an answer whose head had never been sent.
+        The next attempt then wrote into an answer whose head had never been sent. The reply must count as
+        started only if its head was sent.
         """
         clock: MockClock = trio.lowlevel.current_clock()  # type: ignore[assignment]
         transport = LateTransport()
