--- a/tests/front/test_choice.py
+++ b/tests/front/test_choice.py
@@ -1,4 +1,4 @@
-"""Which runners are considered, when some of them fail."""
+"""Runner selection while some runners fail."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def build(runners: int) -> tuple[Fleet, Chooser, Job]:
-    """Return a fleet of one service, its chooser, and a job for it."""
+    """Return a fleet of one service, its runner selector, and a request for that service."""
     fleet = Fleet(2.0, SocketNetwork(), int, open_gate())
     for number in range(runners):
         address = Address('10.0.0.1', number)
@@ -32,7 +32,7 @@
 
 
 class FailingRunnersTest(TestCase):
-    """Leaving out some must not overload the rest."""
+    """Ejected runners must not leave the others overloaded."""
 
     @virtual
     async def test_one_failing_left_out(self) -> None:
@@ -43,10 +43,11 @@
 
     @virtual
     async def test_most_fail_at_times(self) -> None:
-        """Five of nine runners lose two answers in five; each is left out by itself.
+        """Guards against ejecting so many runners that the rest are overloaded.
 
-        All at once that left four to bear the whole load: callers waited and
-        were refused for seconds. Seven stay in use.
+        Five of nine runners lose two answers in five. Ejecting all five left
+        four for the whole load, and callers waited and were refused for
+        seconds. Seven stay eligible.
         """
         fleet, chooser, job = build(9)
         for number in range(5):
@@ -56,7 +57,7 @@
 
     @virtual
     async def test_most_not_reached(self) -> None:
-        """Runners that take no connection at all are of no use, however many."""
+        """Runners that accept no connection are all ejected, however many there are."""
         fleet, chooser, job = build(9)
         for number in range(5):
             health = fleet.members[f'i-{number}'].health
@@ -67,7 +68,7 @@
 
     @virtual
     async def test_all_fail(self) -> None:
-        """With nothing better, a failing runner is tried."""
+        """A failing runner is still chosen when there is no other."""
         fleet, chooser, job = build(2)
         for member in fleet.members.values():
             member.health.unreached()
--- a/tests/front/test_content.py
+++ b/tests/front/test_content.py
@@ -1,4 +1,4 @@
-"""Telling that two attempts are one request."""
+"""Content ids, by which retries of one request are recognized."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def arrived(caller: str = '10.2.0.1', at: float = 0, **changes: object) -> FrontRequest:
-    """Return a request as its instance has it, with an id of its own."""
+    """Return a decoded request with a new request id."""
     parts = changes.pop('parts', (('s1', 90), ('own', 300)))
     asked = asked_prompt('/tag/a')._replace(parts=parts, **changes)  # type: ignore[arg-type]
     return decode_request(Message(asked.head, asked.body, at, caller))
 
 
 class ContentIdTest(TestCase):
-    """What stays the same, and what differs."""
+    """Requests that have the same content id, and requests that differ."""
 
     def test_same_request_under_another_id(self) -> None:
-        """A caller's next attempt has a new id, comes from another address and has less time left."""
-        first, again = arrived(), arrived(caller='10.2.0.9', at=4, deadline_s=1.5)
-        self.assertNotEqual(first.request_id, again.request_id)
-        self.assertEqual(content_id(first), content_id(again))
+        """A caller's retry has a new request id, may come from another address and has less time left."""
+        first, retry = arrived(), arrived(caller='10.2.0.9', at=4, deadline_s=1.5)
+        self.assertNotEqual(first.request_id, retry.request_id)
+        self.assertEqual(content_id(first), content_id(retry))
 
     def test_other_requests(self) -> None:
         others = (
@@ -36,5 +36,5 @@
             arrived(host='other.example'),
             arrived(parts=(('s1', 90), ('another', 300))),
         )
-        found = {content_id(req) for req in (arrived(), *others)}
-        self.assertEqual(len(found), 1 + len(others))
+        ids = {content_id(req) for req in (arrived(), *others)}
+        self.assertEqual(len(ids), 1 + len(others))
--- a/tests/front/test_entries.py
+++ b/tests/front/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries that stop, die, fall silent, or hear nothing."""
+"""Failure detection among instances that stop, are killed, or are cut off from their peers."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from tests.virtual import virtual
 
 FRONTS = 5
-# Until the others have read, or were told, that a record has changed.
+# Time until the other instances know of a changed record, by polling the store or by an update.
 READ_S = 2.5
-# Until a reader has heard the others, has missed an entry, and all know; the
-# one that has its turn when it happens may be the one that is lost.
+# Time until the polling instance has heard its peers, has declared one of them
+# dead, and all know. Twice the time-out, since the failed one may be polling.
 MISSED_S = 2 * LOST_S + READ_S
 OTHERS = tuple(f'e{number}' for number in range(10))
 
 
 def counts(bed: PlatformBed, *without: str) -> set[int]:
-    """Return how many entries the fronts count, but those in ``without``."""
+    """Return the distinct instance counts that the fronts have, except those in ``without``."""
     return {front.peers.count() for name, front in bed.fronts.items() if name not in without}
 
 
 def cut_from_peers(bed: PlatformBed, number: int) -> None:
-    """Let no word pass between a front and the others; all reach the store."""
+    """Block all datagrams between a front and the others; all still reach the store."""
     others = (other for other in range(1, FRONTS + 1) if other != number)
     bed.network.cut.update(frozenset((f'10.1.0.{number}', f'10.1.0.{other}')) for other in others)
 
 
 class MembershipTest(TestCase):
-    """The decisions alone."""
+    """Membership decisions, without network or store."""
 
     def setUp(self) -> None:
-        """Know ten others."""
+        """Register ten peers."""
         self.members = Membership('e-own')
         for name in OTHERS:
             self.members.join(name, 0)
@@ -47,7 +47,11 @@
         self.assertEqual([lost.name for lost in self.members.lost(LOST_S + 1)], ['e0'])
 
     def test_hears_few(self) -> None:
-        """Who hears less than half of the others calls nobody lost, nor just after it hears them again."""
+        """Guards against an isolated instance that declares its peers dead.
+
+        An instance that receives from less than half of its peers declares
+        none dead, nor just after it receives from them again.
+        """
         for name in OTHERS[:4]:
             self.members.heard(name, LOST_S)
         self.members.listen(LOST_S + 1, reading=True)
@@ -58,17 +62,17 @@
         self.assertEqual(self.members.lost(LOST_S + 2), [])
 
     def test_unregistered_not_counted(self) -> None:
-        """A word in the name of nobody that is registered makes no member."""
+        """A message from a sender that is not registered adds no member."""
         self.members.heard('stranger', 1)
         self.assertNotIn('stranger', self.members)
 
     def test_not_the_reader(self) -> None:
-        """To whom the others don't say that they live, their silence tells nothing."""
+        """An instance that does not poll gets no heartbeats, so it must not take silence for failure."""
         self.members.listen(LOST_S, reading=False)
         self.assertEqual(self.members.lost(LOST_S + 1), [])
 
     def test_untold(self) -> None:
-        """The reader alone hears that this entry lives, if it has heard nothing else of late."""
+        """A heartbeat goes to the polling instance only, and only if nothing else was sent to it recently."""
         self.assertIsNone(self.members.untold(ALIVE_S))
         self.members.read_by('e0')
         self.assertEqual(self.members.untold(ALIVE_S), 'e0')
@@ -81,68 +85,69 @@
 
 
 class EntriesTest(TestCase):
-    """Whom the retry budget is shared with, and who is told."""
+    """The number of instances that share the retry budget and get messages."""
 
     @virtual
     async def test_stop_withdraws(self) -> None:
-        """A front stops as planned; its record goes, and its share of the budget is the others' at once."""
-        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bed:
+        """A planned stop removes the front's record, and the others take over its share of the budget."""
+        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bench:
             await trio.sleep(READ_S)
-            self.assertEqual(counts(bed), {FRONTS})
-            await bed.fronts['front-2'].wind_down()
-            bed.kill_front('front-2')
+            self.assertEqual(counts(bench), {FRONTS})
+            await bench.fronts['front-2'].wind_down()
+            bench.kill_front('front-2')
             await trio.sleep(READ_S)
-            self.assertEqual(counts(bed, 'front-2'), {FRONTS - 1})
+            self.assertEqual(counts(bench, 'front-2'), {FRONTS - 1})
 
     @virtual
     async def test_killed_forgotten(self) -> None:
-        """A front is killed for good and withdraws nothing.
+        """Guards against the record of a killed front that stays forever.
 
-        The others kept its share of the retry budget free, and sent words
-        to its address, for ever. Now whoever reads the list misses it, and
-        drops its record.
+        A killed front does not remove its record. The others kept its share
+        of the retry budget unused and went on sending messages to its
+        address. The polling instance declares it dead and drops its record.
         """
-        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bed:
+        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bench:
             await trio.sleep(READ_S)
-            bed.kill_front('front-2')
+            bench.kill_front('front-2')
             await trio.sleep(LOST_S / 2)
-            self.assertEqual(counts(bed, 'front-2'), {FRONTS})
+            self.assertEqual(counts(bench, 'front-2'), {FRONTS})
             await trio.sleep(MISSED_S)
-            self.assertEqual(counts(bed, 'front-2'), {FRONTS - 1})
+            self.assertEqual(counts(bench, 'front-2'), {FRONTS - 1})
 
     @virtual
     async def test_started_again_stays(self) -> None:
-        """A front that is killed and starts again within seconds is never dropped."""
-        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bed:
+        """Guards against dropping a front that is killed and restarts within seconds."""
+        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bench:
             await trio.sleep(READ_S)
-            bed.kill_front('front-2')
+            bench.kill_front('front-2')
             await trio.sleep(LOST_S / 2)
-            bed.add_front(2)
+            bench.add_front(2)
             for _ in range(int(LOST_S)):
                 await trio.sleep(1)
-                self.assertEqual(counts(bed, 'front-2'), {FRONTS})
+                self.assertEqual(counts(bench, 'front-2'), {FRONTS})
 
     @virtual
     async def test_hears_nobody(self) -> None:
-        """A front hears no other one, but reads and writes the store.
+        """Guards against an isolated front that drops the records of all its peers.
 
-        It may be the one that reads for all. It takes nobody as lost; the
-        others drop it, it sees that and registers again, and all know each
-        other when it hears them again.
+        It receives nothing from its peers, but reads and writes the store,
+        and may be the polling instance. It declares no peer dead. The others
+        drop its record, it sees that and registers again, and all count each
+        other once the network is back.
         """
-        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bed:
+        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bench:
             await trio.sleep(READ_S)
-            cut_from_peers(bed, 1)
+            cut_from_peers(bench, 1)
             for _ in range(int(3 * LOST_S)):
                 await trio.sleep(1)
-                self.assertTrue(counts(bed) <= {FRONTS, FRONTS - 1})
-            bed.network.cut.clear()
+                self.assertTrue(counts(bench) <= {FRONTS, FRONTS - 1})
+            bench.network.cut.clear()
             await trio.sleep(READ_S)
-            self.assertEqual(counts(bed), {FRONTS})
+            self.assertEqual(counts(bench), {FRONTS})
 
     @virtual
     async def test_quiet_fleet_stays(self) -> None:
-        """Without a single request nobody has anything to tell, and all still know each other."""
-        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bed:
+        """Guards against idle instances that are declared dead because there are no messages but heartbeats."""
+        async with running_bed(configuration(), fleet(), fronts=FRONTS) as bench:
             await trio.sleep(3 * LOST_S)
-            self.assertEqual(counts(bed), {FRONTS})
+            self.assertEqual(counts(bench), {FRONTS})
--- a/tests/front/test_foreign_records.py
+++ b/tests/front/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records and datagrams that no runner, operator or entry of ours wrote."""
+"""Invalid store records and datagrams, written by no runner, operator or instance of this system."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.front.builders import asked, configuration, encoded_configuration, fleet, registration
 from tests.virtual import virtual
 
-# Without one of these nobody could say what a registration names.
+# A registration that lacks one of these fields is invalid.
 REQUIRED = ('service', 'address', 'zone', 'version', 'slots', 'state', 'cold_remaining_ms', 'sequence')
 FOREIGN = st.one_of(
     st.none(),
@@ -70,7 +70,7 @@
 
 
 class RegistrationTest(TestCase):
-    """Each field is checked; whatever fails names no runner."""
+    """Registrations with a missing or invalid field are refused."""
 
     def test_registration_read(self) -> None:
         runner = decode_runner('i-1', msgspec.json.encode(registration()))
@@ -88,7 +88,7 @@
     @given(st.sampled_from(REQUIRED), FOREIGN)
     @settings(derandomize=True, max_examples=300)
     def test_field_of_any_type(self, name: str, found: Any) -> None:
-        """A value that no runner writes there; a text where a text is due may name another service or zone."""
+        """Values of any invalid type are refused; any string is valid as a service, zone or version."""
         changed = msgspec.json.encode(registration(**{name: found}))
         if name in {'service', 'zone', 'version'} and isinstance(found, str):
             return
@@ -108,7 +108,7 @@
 
 
 class ConfigurationTest(TestCase):
-    """A configuration that does not decode is refused whole, never half taken."""
+    """A configuration that does not decode is refused as a whole, never applied in part."""
 
     @given(st.data())
     @settings(derandomize=True, max_examples=200)
@@ -120,7 +120,7 @@
             decode_configuration(msgspec.json.encode(document))
         except UnreadableRecordError:
             return
-        # What was changed may be absent or any text; all else is checked.
+        # A replaced field is accepted only if it may be null or any text.
         self.assertTrue(any(found is None or isinstance(found, str | bool) for found in _written(document)))
 
     @given(st.binary(max_size=200))
@@ -137,36 +137,37 @@
 
 
 class RunningTest(TestCase):
-    """Nothing stops or restarts, and the sound records hold."""
+    """Invalid records in the store: serving goes on, and valid records stay in force."""
 
     @virtual
     async def test_foreign_registrations(self) -> None:
-        """Another writer fills the list of runners, under keys of its own and over that of a runner.
+        """Guards against requests that are sent to, or fail because of, invalid registrations.
 
-        Callers are served by the others; nothing is sent to what it names.
+        They are written under new keys and over the record of a runner. The
+        other runners serve all callers.
         """
-        async with running_bed(configuration(), fleet()) as bed:
+        async with running_bed(configuration(), fleet()) as bench:
             for number, changes in enumerate(WRONG):
-                bed.store.put(RUNNER_TOPIC, f'i-foreign{number}', registration(**{'service': 'web', **changes}))
-            bed.store.put_raw(RUNNER_TOPIC, 'i-web1', b'\xff\x00{')
+                bench.store.put(RUNNER_TOPIC, f'i-foreign{number}', registration(**{'service': 'web', **changes}))
+            bench.store.put_raw(RUNNER_TOPIC, 'i-web1', b'\xff\x00{')
             await trio.sleep(2)
-            members = bed.fronts['front-1'].fleet.members
+            members = bench.fronts['front-1'].fleet.members
             self.assertEqual([key for key in members if 'foreign' in key], [])
-            await self._served(bed)
-            self.assertEqual(bed.runners['i-web1'].runs, [])
+            await self._served(bench)
+            self.assertEqual(bench.runners['i-web1'].runs, [])
 
     @virtual
     async def test_foreign_entries_and_configuration(self) -> None:
-        """Bytes under an entry's name and under the operator's key: logged, passed over."""
-        async with running_bed(configuration(), fleet()) as bed:
-            front = bed.fronts['front-1']
-            entries = [b'\xff', b'no address', b'10.1.0.9:x', b'[]']
-            for number, text in enumerate(entries):
-                bed.store.put_raw(ENTRY_TOPIC, f'entry-{number}', text)
-            bed.store.put_raw(OPERATOR_TOPIC, OPERATOR_KEY, encoded_configuration()[:-9])
+        """Invalid bytes under an instance's name and under the operator's key are logged and ignored."""
+        async with running_bed(configuration(), fleet()) as bench:
+            front = bench.fronts['front-1']
+            texts = [b'\xff', b'no address', b'10.1.0.9:x', b'[]']
+            for number, text in enumerate(texts):
+                bench.store.put_raw(ENTRY_TOPIC, f'entry-{number}', text)
+            bench.store.put_raw(OPERATOR_TOPIC, OPERATOR_KEY, encoded_configuration()[:-9])
             await trio.sleep(2)
             self.assertEqual(front.peers.count(), 1)
-            await self._served(bed)
+            await self._served(bench)
 
     async def _served(self, bed: PlatformBed) -> None:
         for _ in range(20):
@@ -175,24 +176,24 @@
 
 
 class DatagramTest(TestCase):
-    """What comes to the port for peers."""
+    """Invalid datagrams on the port for messages from peers."""
 
     @virtual
     async def test_foreign_datagrams(self) -> None:
-        """Cut words, other bytes, and words whose figures no peer of ours would tell.
+        """Guards against invalid messages about sends: truncated, foreign, or with figures out of range.
 
-        Believed, an hour of work or a start in the far future would keep an
-        engine out of use for as long.
+        If accepted, an hour of prefill or a start time in the far future
+        would make an engine unused for that long.
         """
         good = Word('front-2', (Send(1, 'i-llm2', 0.5, 9000, (Part('a', 9000),)),), ())
-        sends = [good.sends[0]._replace(work_s=found) for found in (-1.0, 1e9, float('nan'))]
+        sends = [good.sends[0]._replace(work_s=seconds) for seconds in (-1.0, 1e9, float('nan'))]
         sends += [good.sends[0]._replace(tokens=-5), good.sends[0]._replace(born_ms=10**15)]
         sends += [good.sends[0]._replace(parts=(Part('a', -9000),))]
-        words = [msgspec.msgpack.encode(msgspec.structs.replace(good, sends=(send,))) for send in sends]
+        datagrams = [msgspec.msgpack.encode(msgspec.structs.replace(good, sends=(send,))) for send in sends]
         raw = msgspec.msgpack.encode(good)
-        async with running_bed(configuration(), fleet()) as bed:
-            front = bed.fronts['front-1']
-            for datagram in (*words, *(raw[:end] for end in range(len(raw))), b'GET / HTTP/1.1\r\n\r\n'):
+        async with running_bed(configuration(), fleet()) as bench:
+            front = bench.fronts['front-1']
+            for datagram in (*datagrams, *(raw[:end] for end in range(len(raw))), b'GET / HTTP/1.1\r\n\r\n'):
                 front.peers.take(datagram)
             member = front.fleet.members['i-llm2']
             self.assertEqual(member.load.streams(trio.current_time()), 0)
@@ -202,16 +203,16 @@
 
     @virtual
     async def test_foreign_notices(self) -> None:
-        """Cut notices, and rows that name nothing or have no end: none makes a request suspect."""
+        """Guards against requests that become suspect by truncated messages, or by rows with an invalid name or end."""
         good = Notice('front-2', ends=(EndNote('c1', Start('i-1')), EndNote('c1', Start('i-2'))), quarantined=('c2',))
         wrong = (EndNote('', Start('i-1')), EndNote('c' * 1000, Start('i-1')), EndNote('c1', Start('i-1', -1)))
-        words = [msgspec.msgpack.encode(msgspec.structs.replace(good, ends=(row,))) for row in wrong]
+        datagrams = [msgspec.msgpack.encode(msgspec.structs.replace(good, ends=(row,))) for row in wrong]
         raw = msgspec.msgpack.encode(good)
-        async with running_bed(configuration(), fleet(), fronts=2) as bed:
-            front = bed.fronts['front-1']
+        async with running_bed(configuration(), fleet(), fronts=2) as bench:
+            front = bench.fronts['front-1']
             suspects = suspects_of(front)
             await trio.sleep(2)
-            for datagram in (*words, *(raw[:end] for end in range(len(raw)))):
+            for datagram in (*datagrams, *(raw[:end] for end in range(len(raw)))):
                 front.peers.take(datagram)
             self.assertEqual(suspects.all_suspect(), ())
             front.peers.take(msgspec.msgpack.encode(msgspec.structs.replace(good, entry='nobody')))
@@ -221,17 +222,17 @@
 
     @virtual
     async def test_foreign_quarantine_records(self) -> None:
-        """Another writer fills the list of what may not be sent: what tells of no ends keeps nothing back."""
-        async with running_bed(configuration(), fleet()) as bed:
+        """Guards against a quarantine by a record that lists no runner ends."""
+        async with running_bed(configuration(), fleet()) as bench:
             for number, text in enumerate((b'\xff', b'{}', b'[]', b'[["i-1"]', b'[[""]]')):
-                bed.store.put_raw(QUARANTINE_TOPIC, f'c{number}', text)
-            bed.store.put_raw(QUARANTINE_TOPIC, 'known', b'[["i-1",0]]')
+                bench.store.put_raw(QUARANTINE_TOPIC, f'c{number}', text)
+            bench.store.put_raw(QUARANTINE_TOPIC, 'known', b'[["i-1",0]]')
             await trio.sleep(20)
-            self.assertEqual(suspects_of(bed.fronts['front-1']).all_quarantined(), ('known',))
+            self.assertEqual(suspects_of(bench.fronts['front-1']).all_quarantined(), ('known',))
 
 
 def suspects_of(front: Front) -> Suspects:
-    """Return what a front knows of requests that may end runners."""
+    """Return the suspect and quarantined requests that a front knows."""
     return front.peers._quarantine.suspects
 
 
--- a/tests/front/test_gate.py
+++ b/tests/front/test_gate.py
@@ -1,4 +1,4 @@
-"""The last question before a send: what closes the gate closes it for all that runners get."""
+"""The last check before a send, for every kind of send and every condition that blocks one."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     from sesamepoint.front.gate import Passage
     from tests.front.gate_bed import Close, Send
 
-# Runners are spoken to by connections of this module, which ask the gate.
+# The only module that connects to runners; its connections run the check before they send.
 POOL = 'front/pool.py'
-# These conditions lie in a request of a caller, and close nothing to calls besides.
+# These conditions depend on a caller's request, and don't block maintenance calls.
 OF_REQUESTS = frozenset(('suspect',))
-# These lead to no runner: the store, the reports on use, other entries.
+# These connect to the store, to the receiver of usage reports and to peers, not to runners.
 ELSEWHERE = frozenset(('platform/store.py', 'front/duty.py', 'front/peer_configuration.py'))
 
 
 class GateTest(TestCase):
-    """Nothing goes round the gate."""
+    """No send reaches a runner without the check."""
 
     def test_all_kinds_and_conditions_are_tried(self) -> None:
-        """Guards against a kind of send, or a condition, that nobody tries here."""
+        """Guards against a kind of send, or a condition, that these tests don't cover."""
         self.assertEqual(SENDS.keys(), set(SendKind))
         self.assertEqual(CLOSES.keys(), set(CONDITIONS))
 
     def test_connections_come_from_the_pool(self) -> None:
-        """Guards against a new kind of send with a connection that asks no gate."""
+        """Guards against a new kind of send over a connection that skips the check."""
         root = Path(sesamepoint.__file__).parent
         found = {
             path.relative_to(root).as_posix() for path in root.rglob('*.py') if 'ClientConn(' in path.read_text('utf-8')
@@ -46,7 +46,7 @@
 
     @virtual
     async def test_open(self) -> None:
-        """Guards against tests of a gate that never opens."""
+        """Guards against a test bench on which every send is blocked."""
         for kind, send in SENDS.items():
             with self.subTest(kind=kind):
                 found = bed()
@@ -55,7 +55,7 @@
 
     @virtual
     async def test_closed_while_connecting(self) -> None:
-        """Guards against sends to runners of which something was learned since they were chosen."""
+        """Guards against sends to a runner whose status has changed since it was chosen."""
         for kind, send in SENDS.items():
             for condition, close in CLOSES.items():
                 with self.subTest(kind=kind, condition=condition):
@@ -64,7 +64,7 @@
 
     @virtual
     async def test_twin_that_asks_at_the_choice_only(self) -> None:
-        """What closes after the choice is sent all the same."""
+        """Without the last check, a send goes out although its runner has begun to drain since the choice."""
         with patch.object(Gate, 'closed_by', _open):
             for kind, send in SENDS.items():
                 with self.subTest(kind=kind):
--- a/tests/front/test_harmful_requests.py
+++ b/tests/front/test_harmful_requests.py
@@ -1,13 +1,11 @@
-"""A request that ends each engine that runs it, asked again at any instance.
-
-Seen: four engines at a time ended within half a second, again and again over a minute, and for two to three
-seconds after each time no request with a prompt was served. Under one request fifteen engines ended; five to eight of
-these sends came when three engines had long ended under it.
-How: an engine ends 0.1 s after it begins to run the request, with all that it runs beside it. The instance sends
-the request once more, to a second engine. The caller comes back, to another instance, which knows nothing of it.
-Cause: instances remembered which engines fail, but not under which request; a request's history ended with its answer.
-Proof: single first sends to idle engines bring it about, so it takes neither load nor a second send; engines that only
-read prompts, where it did not begin to run, stayed up all the time. With the ends not counted it is as it was.
+"""Poison requests, which end each engine that runs them and are retried at any instance.
+
+An engine ends 0.1 s after it begins to run the request, together with all requests beside it. The instance retries it
+at a second engine, and the caller retries it at another instance. Instances remembered which engines fail, but not
+under which request, so fifteen engines ended under one request, five to eight of them well after the third end. Four
+engines at a time ended within half a second, over and over for a minute, and after each time no prompt was served for
+two to three seconds. It takes neither load nor a retry: single first sends to idle engines end them. Prefill engines,
+where the request does not begin to run, stayed up. Without the count of ends the failure is back.
 """
 
 from __future__ import annotations
@@ -48,16 +46,16 @@
 
 TIMES = 8
 NOT_RUN = 503
-# Refusals come at once: a round trip and some.
+# One round trip, with some margin.
 AT_ONCE_S = 0.02
-# As long as an instance that hears nobody may take to look itself, and a call more.
+# The longest that an instance without updates from peers takes to poll the store, and one more call.
 LOOKED_S = 20.0
-# Of the first seeds these send on when nothing is remembered.
+# Of the first seeds, those under which the request is still sent when no ends are remembered.
 SEEDS_AMONG_FAULTS = (3, 4)
 
 
 async def until_refused(bed: PlatformBed) -> Seen:
-    """Ask at one instance after the other until the request is refused for good."""
+    """Send the poison request to one instance after the other until it is refused immediately."""
     for number in range(TIMES):
         seen = await bed.caller(f'front-{number % len(bed.fronts) + 1}').ask(harmful_prompt())
         if seen.status == NOT_RUN and seen.took_s < AT_ONCE_S:
@@ -74,173 +72,174 @@
 
 
 async def ask_new_front(bed: PlatformBed) -> Seen:
-    """Start one more instance, and ask there as soon as it is ready."""
+    """Start one more instance, and send it the poison request as soon as it is ready."""
     bed.add_front(FRONTS + 1)
     await bed.until_ready()
     return await bed.caller(f'front-{FRONTS + 1}').ask(harmful_prompt())
 
 
 class HarmfulRequestTest(TestCase):
-    """What reaches engines of a request that ends them."""
+    """How often a poison request reaches runners."""
 
     @virtual
     async def test_asked_again_at_each_instance(self) -> None:
-        """A caller asks again and again, each time at the next instance.
+        """Guards against instances that don't know which engines ended under a request sent by a peer.
 
-        All instances know what befell the engines at the others: they send the
-        request at most three times more.
+        A caller retries the request, each time at the next instance. After
+        the third end it is sent at most three times more.
         """
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
             for number in range(TIMES):
-                await bed.caller(f'front-{number % FRONTS + 1}').ask(harmful_prompt())
+                await bench.caller(f'front-{number % FRONTS + 1}').ask(harmful_prompt())
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(sent_later(bed), SENT_LATER)
+            self.assertLessEqual(sent_later(bench), SENT_LATER)
 
     @virtual
     async def test_asked_at_the_same_moment(self) -> None:
-        """The request comes to all instances at the same moment, and so again when the engines are back."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
+        """The request arrives at all instances at the same moment, and does so again when the engines are back."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
             for _ in range(TIMES // 2):
-                await ask_all(bed, bed.fronts, harmful_prompt())
+                await ask_all(bench, bench.fronts, harmful_prompt())
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(sent_later(bed), SENT_LATER)
-            # Each instance sends it twice before it knows; then one tries it for all.
-            self.assertEqual((len(bed.ended), len(sends_of_it(bed))), (ENDED_BY_THEN, 2 * FRONTS + 1))
+            self.assertLessEqual(sent_later(bench), SENT_LATER)
+            # Each instance sends it twice before the ends are known; then one of them sends a probe for all.
+            self.assertEqual((len(bench.ended), len(sends_of_it(bench))), (ENDED_BY_THEN, 2 * FRONTS + 1))
 
     @virtual
     async def test_refused_at_once_when_known(self) -> None:
-        """What can't be served is refused at once: it has not run, and there is no use in coming back soon.
+        """Three ends quarantine a request: two beside other requests, the third as a probe.
 
-        Three ends tell: two beside others, the third alone.
+        It is refused immediately, as not run, with a retry-after time of more than an hour.
         """
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            refused = await until_refused(bed)
-            self.assertGreater(refused.retry_after_s or 0, 3600)
-            self.assertEqual(len(bed.ended), ENDED_BY_THEN)
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            refusal = await until_refused(bench)
+            self.assertGreater(refusal.retry_after_s or 0, 3600)
+            self.assertEqual(len(bench.ended), ENDED_BY_THEN)
 
     @virtual
     async def test_released_by_an_operator(self) -> None:
-        """An operator drops the record: all instances take the request again, and its next send is a trial."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            await until_refused(bed)
-            known = len(sends_of_it(bed))
-            quarantined = bed.fronts['front-1'].peers._quarantine.suspects.all_quarantined()
-            bed.store.put(QUARANTINE_TOPIC, quarantined[0], None)
+        """An operator drops the record: all instances accept the request again, and its next send is a probe."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            await until_refused(bench)
+            sends = len(sends_of_it(bench))
+            quarantined = bench.fronts['front-1'].peers._quarantine.suspects.all_quarantined()
+            bench.store.put(QUARANTINE_TOPIC, quarantined[0], None)
             await trio.sleep(LOOKED_S)
-            await ask_all(bed, bed.fronts, harmful_prompt())
-            self.assertEqual(len(sends_of_it(bed)), known + 1)
+            await ask_all(bench, bench.fronts, harmful_prompt())
+            self.assertEqual(len(sends_of_it(bench)), sends + 1)
 
     @virtual
     async def test_asked_at_an_instance_just_started(self) -> None:
-        """An instance that started after the request was known for what it is refuses it like the others."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            await until_refused(bed)
-            known = len(sends_of_it(bed))
-            seen = await ask_new_front(bed)
-            self.assertEqual((seen.status, len(sends_of_it(bed))), (NOT_RUN, known))
+        """Guards against a send by an instance that started after the request was quarantined."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            await until_refused(bench)
+            sends = len(sends_of_it(bench))
+            seen = await ask_new_front(bench)
+            self.assertEqual((seen.status, len(sends_of_it(bench))), (NOT_RUN, sends))
 
     @virtual
     async def test_asked_before_the_list_is_read(self) -> None:
-        """An instance has its configuration and its runners, and the store is slow to tell what is not to be sent."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            await until_refused(bed)
-            known = len(sends_of_it(bed))
-            lose_all_fronts(bed)
-            bed.store.slow_topics[QUARANTINE_TOPIC] = 0.2
-            seen = await ask_new_front(bed)
-            self.assertEqual((seen.status, len(sends_of_it(bed))), (NOT_RUN, known))
+        """Guards against a send by a new instance that has its configuration and runners before the quarantine list."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            await until_refused(bench)
+            sends = len(sends_of_it(bench))
+            lose_all_fronts(bench)
+            bench.store.slow_topics[QUARANTINE_TOPIC] = 0.2
+            seen = await ask_new_front(bench)
+            self.assertEqual((seen.status, len(sends_of_it(bench))), (NOT_RUN, sends))
 
     @virtual
     async def test_asked_after_all_instances_were_lost(self) -> None:
-        """All instances are lost at once; those that take their place find in the store what is not to be sent."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            await until_refused(bed)
-            known = len(sends_of_it(bed))
-            lose_all_fronts(bed)
-            seen = await ask_new_front(bed)
-            self.assertEqual((seen.status, len(sends_of_it(bed))), (NOT_RUN, known))
+        """Guards against a quarantine that is lost with all instances; their replacements read it from the store."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            await until_refused(bench)
+            sends = len(sends_of_it(bench))
+            lose_all_fronts(bench)
+            seen = await ask_new_front(bench)
+            self.assertEqual((seen.status, len(sends_of_it(bench))), (NOT_RUN, sends))
 
     @virtual
     async def test_asked_at_a_newcomer_while_suspect(self) -> None:
-        """Two engines have ended; an instance that starts then is told so by the others, and tries it alone."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            await bed.caller('front-1').ask(harmful_prompt())
-            bed.add_front(FRONTS + 1)
-            await bed.until_ready()
+        """Two engines have ended; an instance that starts then learns it from its peers and sends only a probe."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            await bench.caller('front-1').ask(harmful_prompt())
+            bench.add_front(FRONTS + 1)
+            await bench.until_ready()
             await trio.sleep(PAUSE_S)
-            await bed.caller(f'front-{FRONTS + 1}').ask(harmful_prompt())
-            self.assertEqual(len(bed.ended), ENDED_BY_THEN)
-            seen = await bed.caller('front-2').ask(harmful_prompt())
+            await bench.caller(f'front-{FRONTS + 1}').ask(harmful_prompt())
+            self.assertEqual(len(bench.ended), ENDED_BY_THEN)
+            seen = await bench.caller('front-2').ask(harmful_prompt())
             self.assertLess(seen.took_s, AT_ONCE_S)
 
     @virtual
     async def test_store_away(self) -> None:
-        """The store is down all the while: the instances know it from each other."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            bed.store.down = True
-            await until_refused(bed)
-            await ask_all(bed, bed.fronts, harmful_prompt())
-            self.assertLessEqual(sent_later(bed), SENT_LATER)
+        """The store is down all the time: the instances learn of the ends from each other."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            bench.store.down = True
+            await until_refused(bench)
+            await ask_all(bench, bench.fronts, harmful_prompt())
+            self.assertLessEqual(sent_later(bench), SENT_LATER)
 
     @virtual
     async def test_words_lost(self) -> None:
-        """No word gets from instance to instance: they know it from the store."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            bed.network.datagrams_lost = True
+        """All datagrams between instances are lost: they learn of the quarantine from the store."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            bench.network.datagrams_lost = True
             for _ in range(3):
-                await bed.caller('front-1').ask(harmful_prompt())
+                await bench.caller('front-1').ask(harmful_prompt())
                 await trio.sleep(PAUSE_S)
             await trio.sleep(LOOKED_S)
-            known = len(sends_of_it(bed))
-            await ask_all(bed, bed.fronts, harmful_prompt())
-            self.assertEqual(len(sends_of_it(bed)), known)
+            sends = len(sends_of_it(bench))
+            await ask_all(bench, bench.fronts, harmful_prompt())
+            self.assertEqual(len(sends_of_it(bench)), sends)
 
     @virtual
     async def test_asked_at_an_instance_that_was_cut_off(self) -> None:
-        """An instance does not hear the others while they find out, like one that was frozen; soon after it knows."""
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed:
-            cut_off = bed.fronts[f'front-{FRONTS}'].cfg.host
-            others = [front.cfg.host for front in bed.fronts.values() if front.cfg.host != cut_off]
-            bed.network.cut.update(frozenset((cut_off, other)) for other in others)
+        """An instance is cut off, as if frozen, while its peers find out; it learns of the quarantine soon after."""
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench:
+            cut_off = bench.fronts[f'front-{FRONTS}'].cfg.host
+            others = [front.cfg.host for front in bench.fronts.values() if front.cfg.host != cut_off]
+            bench.network.cut.update(frozenset((cut_off, other)) for other in others)
             for number in range(3):
-                await bed.caller(f'front-{number % 2 + 1}').ask(harmful_prompt())
+                await bench.caller(f'front-{number % 2 + 1}').ask(harmful_prompt())
                 await trio.sleep(PAUSE_S)
-            known = len(sends_of_it(bed))
-            bed.network.cut.clear()
+            sends = len(sends_of_it(bench))
+            bench.network.cut.clear()
             for _ in range(30):
                 await trio.sleep(0.1)
-                await bed.caller('front-1').ask(asked_prompt('/tag/a')._replace(body=b'sound'))
-            await bed.caller(f'front-{FRONTS}').ask(harmful_prompt())
-            self.assertEqual(len(sends_of_it(bed)), known)
+                await bench.caller('front-1').ask(asked_prompt('/tag/a')._replace(body=b'sound'))
+            await bench.caller(f'front-{FRONTS}').ask(harmful_prompt())
+            self.assertEqual(len(sends_of_it(bench)), sends)
 
     @virtual
     async def test_callers_that_leave_before_the_end(self) -> None:
-        """Its callers leave 0.03 s before each engine ends, so no connection of theirs is seen to break.
+        """Guards against ends that are missed because the caller disconnects 0.03 s before the engine ends.
 
-        Others have requests at those engines, here or at other instances, and tell of the end.
+        No connection of that caller is seen to break. Other requests at the
+        engine, from this or another instance, reveal its end.
         """
-        async with running_bed(configuration(), engines(), fronts=FRONTS) as bed, trio.open_nursery() as nursery:
-            nursery.start_soon(ask_sound, bed, Random(3), [], nursery)
+        async with running_bed(configuration(), engines(), fronts=FRONTS) as bench, trio.open_nursery() as nursery:
+            nursery.start_soon(ask_sound, bench, Random(3), [], nursery)
             for number in range(TIMES):
                 impatient = harmful_prompt()._replace(deadline_s=0.07)
-                await bed.caller(f'front-{number % FRONTS + 1}').ask(impatient)
+                await bench.caller(f'front-{number % FRONTS + 1}').ask(impatient)
                 await trio.sleep(0.5)
-            self.assertLessEqual(len(bed.ended), ENDED_BY_THEN)
+            self.assertLessEqual(len(bench.ended), ENDED_BY_THEN)
             nursery.cancel_scope.cancel()
 
     @virtual
     async def test_plain_runners(self) -> None:
-        """The same with a plain service, whose requests may be repeated."""
+        """The same for a plain service, whose requests may be retried."""
         runners = all_end_on_it(plain_runner(number) for number in range(1, ENGINES + 1))
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             for _ in range(TIMES // 2):
-                await ask_all(bed, bed.fronts, harmful_fetch())
+                await ask_all(bench, bench.fronts, harmful_fetch())
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(sent_later(bed), SENT_LATER)
+            self.assertLessEqual(sent_later(bench), SENT_LATER)
 
 
 class AmongFaultsTest(TestCase):
-    """A request that ends its runners, while runners come, go and fail and the store is away at times."""
+    """A poison request while runners start, stop and fail and the store is unavailable at times."""
 
     def test_promises_kept(self) -> None:
         for seed in SEEDS_AMONG_FAULTS:
@@ -248,7 +247,7 @@
                 self.assertEqual(run_virtual(play, seed, seed=seed), [])
 
     def test_twin_nothing_remembered(self) -> None:
-        """Instances forget which runners ended under a request."""
+        """Instances that forget which runners ended under a request exceed the bound."""
         seed = SEEDS_AMONG_FAULTS[-1]
         with patch.object(Suspects, 'note_end', return_value=0):
             found = run_virtual(play, seed, seed=seed)
--- a/tests/front/test_known_engines.py
+++ b/tests/front/test_known_engines.py
@@ -1,4 +1,4 @@
-"""Which engines an entry knows, of small fleets and of large ones."""
+"""The subset of engines that an instance uses, in small and in large fleets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def fleet_of(engines: int, stage: Stage = Stage.decode) -> Fleet:
-    """Return a fleet of ``engines``, and one plain service."""
+    """Return a fleet of ``engines`` engines, and 40 runners of a plain service."""
     fleet = Fleet(2.0, SocketNetwork(), trio.current_time, open_gate())
     for number in range(engines):
         fleet.update(Runner(f'i-{number}', 'llm', Address('10.0.0.1', number), 'z1', 24, leaving=False, stage=stage))
@@ -31,34 +31,36 @@
 
 
 class KnownEnginesTest(TestCase):
-    """Each entry knows a share, and knows what the others know."""
+    """Each instance uses a subset, and can compute the subsets of its peers."""
 
     @virtual
     async def test_small_fleet_known_whole(self) -> None:
-        known = KnownEngines('front-1', fleet_of(KNOWN))
-        self.assertEqual(len(known.of_service('llm')), KNOWN)
-        self.assertTrue(known.whole)
+        subset = KnownEngines('front-1', fleet_of(KNOWN))
+        self.assertEqual(len(subset.of_service('llm')), KNOWN)
+        self.assertTrue(subset.whole)
 
     @virtual
     async def test_large_fleet_in_even_shares(self) -> None:
-        """600 engines before 350 entries: each entry knows some 24, each engine is known to some 14.
+        """Guards against engines that no instance, or too many instances, use.
 
-        An engine that no entry knew would stand idle; what all knew all
-        would have to be told of.
+        With 600 engines and 350 instances, each instance uses some 24 engines
+        and each engine is used by some 14 instances. An engine outside all
+        subsets would be idle; a send to one in all subsets would have to be
+        announced to every instance.
         """
         fleet = fleet_of(600)
-        by_entry = [KnownEngines(entry, fleet).of_service('llm') for entry in ENTRIES]
-        sizes = [len(members) for members in by_entry]
+        by_instance = [KnownEngines(instance, fleet).of_service('llm') for instance in ENTRIES]
+        sizes = [len(members) for members in by_instance]
         self.assertGreater(min(sizes), 6)
         self.assertLess(max(sizes), 2 * KNOWN)
-        known = Counter(member.runner.key for members in by_entry for member in members)
-        self.assertEqual(len(known), 600)
-        self.assertLess(max(known.values()), 3 * len(ENTRIES) * KNOWN / 600)
+        uses = Counter(member.runner.key for members in by_instance for member in members)
+        self.assertEqual(len(uses), 600)
+        self.assertLess(max(uses.values()), 3 * len(ENTRIES) * KNOWN / 600)
         self.assertFalse(KnownEngines('front-1', fleet).whole)
 
     @virtual
     async def test_others_known_alike(self) -> None:
-        """Entry 1 tells just those of a send that know the engine themselves."""
+        """Guards against a send that is not announced to a peer that uses the engine, or to one that does not."""
         fleet = fleet_of(100)
         first = KnownEngines('front-1', fleet)
         second = KnownEngines('front-2', fleet)
@@ -71,22 +73,22 @@
 
     @virtual
     async def test_fleet_grows(self) -> None:
-        """What was known is looked up again when runners come."""
+        """The subset is computed anew when runners register."""
         fleet = fleet_of(KNOWN)
-        known = KnownEngines('front-1', fleet)
-        known.of_service('llm')
+        subset = KnownEngines('front-1', fleet)
+        subset.of_service('llm')
         for number in range(KNOWN, 10 * KNOWN):
             address = Address('10.0.0.1', number)
             fleet.update(Runner(f'i-{number}', 'llm', address, 'z1', 24, leaving=False, stage=Stage.decode))
-        self.assertLess(len(known.of_service('llm')), 2 * KNOWN)
+        self.assertLess(len(subset.of_service('llm')), 2 * KNOWN)
 
 
 class MemorySizeTest(TestCase):
-    """Sizes of engines' memories come with the configuration."""
+    """Sizes of engine caches, which come with the configuration."""
 
     @virtual
     async def test_registered_before_configuration(self) -> None:
-        """A front that starts may read the runners first; their memories must not stay at the guess."""
+        """Guards against cache sizes that stay at the default if runners are read before the configuration."""
         fleet = fleet_of(1)
         member = fleet.members['i-0']
         fleet.configure(decode_configuration(encoded_configuration()))
--- a/tests/front/test_leaving_in_answers.py
+++ b/tests/front/test_leaving_in_answers.py
@@ -61,16 +61,16 @@
     async def test_engine_while_the_store_is_away(self) -> None:
         """Guards against an engine that is sent requests after it said that it leaves."""
         runners = engines(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, runners[0], Load(short_prompt, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, runners[0], Load(short_prompt, 90, LENGTH_S))
         self.assertEqual(after_leaving(runners[0]), [])
 
     @virtual
     async def test_plain_runner_while_the_store_is_away(self) -> None:
         """Guards against a plain runner that is sent requests after it said that it leaves."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, runners[0], Load(fetch, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, runners[0], Load(fetch, 90, LENGTH_S))
         self.assertEqual(after_leaving(runners[0]), [])
 
 
@@ -82,8 +82,8 @@
         """Guards against prompts that are read apart, and memory that is freed, at an engine that leaves."""
         runners = engines(0, 4)
         reader = runners[-1]
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, reader, Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, reader, Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S))
         self.assertTrue(reader.told)
         self.assertEqual(after_leaving(reader, AT_ONCE_S), [])
 
@@ -93,8 +93,8 @@
         runners = engines(0, 4)
         for runner in runners:
             runner.faults.loses = 0.3
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, runners[0], Load(partial(asked_prompt, '/tag/a', 3000), 60, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, runners[0], Load(partial(asked_prompt, '/tag/a', 3000), 60, LENGTH_S))
         self.assertTrue(runners[0].told)
         self.assertEqual(after_leaving(runners[0], AT_ONCE_S), [])
 
@@ -103,8 +103,8 @@
         """Guards against a word that is heard in good answers only."""
         runners = plain_runners(0, 4)
         runners[0].faults.fails = True
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, runners[0], Load(fetch, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, runners[0], Load(fetch, 90, LENGTH_S))
         self.assertTrue(runners[0].told)
         self.assertEqual(after_leaving(runners[0], AT_ONCE_S), [])
 
@@ -112,8 +112,8 @@
     async def test_told_to_all(self) -> None:
         """Guards against instances that find out by a request of their own."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await leave_unheard(bed, runners[0], Load(fetch, 90, LENGTH_S))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await leave_unheard(bench, runners[0], Load(fetch, 90, LENGTH_S))
         first = min(told.at for told in runners[0].told)
         self.assertEqual([at for at in runners[0].arrivals if at > first + AT_ONCE_S], [])
 
@@ -121,70 +121,70 @@
     async def test_told_to_newcomers(self) -> None:
         """Guards against an instance that starts later and finds out by a request of its own."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
-            await send(bed, Random(1), Load(fetch, 90, 1))
-            bed.add_front(FRONTS + 1)
-            await bed.until_ready()
+            await send(bench, Random(1), Load(fetch, 90, 1))
+            bench.add_front(FRONTS + 1)
+            await bench.until_ready()
             await trio.sleep(LISTED_S)
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 60, 2), [f'front-{FRONTS + 1}'])
+            await send(bench, Random(2), Load(fetch, 60, 2), [f'front-{FRONTS + 1}'])
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
     @virtual
     async def test_word_is_lost_on_the_way(self) -> None:
         """Guards against a word to the others that is told once and lost."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            bed.network.datagrams_lost = True
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            bench.network.datagrams_lost = True
             runners[0].says_leaving = SAYS
-            await send(bed, Random(1), Load(fetch, 90, 0.5), ['front-1'])
-            bed.network.datagrams_lost = False
+            await send(bench, Random(1), Load(fetch, 90, 0.5), ['front-1'])
+            bench.network.datagrams_lost = False
             await trio.sleep(TOLD_AGAIN_S)
             since = trio.current_time()
-            await send(bed, Random(1), Load(fetch, 90, 2))
+            await send(bench, Random(1), Load(fetch, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
     @virtual
     async def test_registration_that_is_late(self) -> None:
         """Guards against a registration, read late or from a store that went back, that calls the runner ready."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
-            await send(bed, Random(1), Load(fetch, 90, 1))
-            bed.drop_registration(runners[0].key)
+            await send(bench, Random(1), Load(fetch, 90, 1))
+            bench.drop_registration(runners[0].key)
             await trio.sleep(GONE_S)
-            bed.store.put('keyed.servers', runners[0].key, runners[0].record)
+            bench.store.put('keyed.servers', runners[0].key, runners[0].record)
             await trio.sleep(1)
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 90, 2))
+            await send(bench, Random(2), Load(fetch, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
     @virtual
     async def test_answers_in_flight_without_the_word(self) -> None:
         """Guards against the end of a leaving by answers that were made before it was said."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
-            await send(bed, Random(1), Load(fetch, 90, 1))
+            await send(bench, Random(1), Load(fetch, 90, 1))
             runners[0].says_leaving = ()
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 90, 2))
+            await send(bench, Random(2), Load(fetch, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
     @virtual
     async def test_starts_again(self) -> None:
         """Guards against a word that stays with a runner which has started again under its key."""
         runners = plain_runners(0, 4)
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
-            await send(bed, Random(1), Load(fetch, 90, 1))
+            await send(bench, Random(1), Load(fetch, 90, 1))
             runners[0].says_leaving = ()
             runners[0].start_again(1_700_000_000_000)
-            bed.store.put('keyed.servers', runners[0].key, runners[0].record)
+            bench.store.put('keyed.servers', runners[0].key, runners[0].record)
             await trio.sleep(1)
             since = trio.current_time()
-            await send(bed, Random(2), Load(fetch, 90, 2))
+            await send(bench, Random(2), Load(fetch, 90, 2))
         self.assertGreater(runners[0].arrived(since, math.inf), 20)
 
 
@@ -203,13 +203,13 @@
                 self.assertEqual(came, 0)
 
     async def _all_leave(self, runners: list[RunnerStandIn], load: Callable[[], Asked]) -> tuple[list[Seen], int]:
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             for runner in runners:
                 runner.says_leaving = SAYS
-            await send(bed, Random(1), Load(load, 60, 1))
+            await send(bench, Random(1), Load(load, 60, 1))
             await trio.sleep(1)
             since = trio.current_time()
-            seen = await send(bed, Random(2), Load(load, 60, 2))
+            seen = await send(bench, Random(2), Load(load, 60, 2))
         return seen, sum(one.arrived(since, math.inf) for one in runners)
 
 
@@ -232,10 +232,10 @@
 
     async def _came_after(self, texts: tuple[bytes, ...]) -> int:
         runners = plain_runners(0, 2)
-        async with running_bed(configuration(), runners, fronts=2) as bed:
+        async with running_bed(configuration(), runners, fronts=2) as bench:
             runners[0].says_leaving = texts
-            await send(bed, Random(1), Load(fetch, 60, 0.5))
+            await send(bench, Random(1), Load(fetch, 60, 0.5))
             since = trio.current_time()
-            seen = await send(bed, Random(2), Load(fetch, 60, 1.5))
+            seen = await send(bench, Random(2), Load(fetch, 60, 1.5))
         self.assertEqual({one.status for one in seen}, {GOOD})
         return runners[0].arrived(since, math.inf)
--- a/tests/front/test_lines.py
+++ b/tests/front/test_lines.py
@@ -26,41 +26,41 @@
         A short one that takes 4 ms and is due in 0.34 s is served before
         them. Counted behind them it was refused, though engines had time.
         """
-        bed = LinesBed()
-        waiting = [bed.waiter(LONG, work_s=0.3) for _ in range(3)]
-        newcomer = bed.waiter(SHORT, work_s=0.004)
-        bed.lines.receive(newcomer, waiting)
+        bench = LinesBed()
+        waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(3)]
+        newcomer = bench.waiter(SHORT, work_s=0.004)
+        bench.lines.receive(newcomer, waiting)
         self.assertFalse(newcomer.late)
 
     @virtual
     async def test_long_behind_long(self) -> None:
         """Two engines, 1.2 s of reading ahead, due in 0.6 s: late, whoever is asked."""
-        bed = LinesBed()
-        waiting = [bed.waiter(LONG, work_s=0.3) for _ in range(4)]
-        newcomer = bed.waiter(LONG, work_s=0.1)
-        bed.lines.receive(newcomer, waiting)
+        bench = LinesBed()
+        waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(4)]
+        newcomer = bench.waiter(LONG, work_s=0.1)
+        bench.lines.receive(newcomer, waiting)
         self.assertTrue(newcomer.late)
 
     @virtual
     async def test_late_ones_not_ahead(self) -> None:
-        bed = LinesBed()
-        waiting = [bed.waiter(LONG, work_s=0.3) for _ in range(4)]
+        bench = LinesBed()
+        waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(4)]
         for waiter in waiting:
             waiter.late = True
-        newcomer = bed.waiter(LONG, work_s=0.1)
-        bed.lines.receive(newcomer, waiting)
+        newcomer = bench.waiter(LONG, work_s=0.1)
+        bench.lines.receive(newcomer, waiting)
         self.assertFalse(newcomer.late)
 
     @virtual
     async def test_rivals_at_other_entries(self) -> None:
         """What others hold counts if it is due as soon, and for as long as their word is fresh."""
-        bed = LinesBed()
+        bench = LinesBed()
         for target_s, late in ((SHORT.target_s, True), (LONG.target_s, True), (LONG.target_s + 1, False)):
-            bed.backlog.heard('front-2', (Held(PREFILL, target_s, 8, 1.4),))
-            self.assertEqual(self._late(bed), late)
-        bed.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 8, 1.4),))
+            bench.backlog.heard('front-2', (Held(PREFILL, target_s, 8, 1.4),))
+            self.assertEqual(self._late(bench), late)
+        bench.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 8, 1.4),))
         await trio.sleep(BELIEVED_S + 0.01)
-        self.assertFalse(self._late(bed))
+        self.assertFalse(self._late(bench))
 
     def _late(self, bed: LinesBed) -> bool:
         newcomer = bed.waiter(LONG, work_s=0.1)
@@ -79,12 +79,12 @@
         if all entries knew the same engines, the wait came out four times as
         long, and callers were refused that could have been served.
         """
-        bed = LinesBed(readers=4 * KNOWN)
-        engines = sum(member.runner.stage is Stage.prefill for member in bed.known.of_service('llm'))
-        bed.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 32, 9.6),))
-        waiter = bed.waiter(LONG, work_s=0.3)
-        self.assertAlmostEqual(bed.lines.wait_s([waiter]), HOLD_ABOVE_S + (9.6 / 4 + 0.3) / engines)
-        bed.lines.receive(waiter, [])
+        bench = LinesBed(readers=4 * KNOWN)
+        engines = sum(member.runner.stage is Stage.prefill for member in bench.known.of_service('llm'))
+        bench.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 32, 9.6),))
+        waiter = bench.waiter(LONG, work_s=0.3)
+        self.assertAlmostEqual(bench.lines.wait_s([waiter]), HOLD_ABOVE_S + (9.6 / 4 + 0.3) / engines)
+        bench.lines.receive(waiter, [])
         self.assertFalse(waiter.late)
 
 
@@ -94,9 +94,9 @@
     @virtual
     async def test_returned_is_late(self) -> None:
         """Nobody waits, but its time runs since its first attempt."""
-        bed = LinesBed()
-        newcomer = bed.waiter(LONG, work_s=0.1, returned=True)
-        bed.lines.receive(newcomer, [])
+        bench = LinesBed()
+        newcomer = bench.waiter(LONG, work_s=0.1, returned=True)
+        bench.lines.receive(newcomer, [])
         self.assertTrue(newcomer.late)
 
     @virtual
@@ -106,9 +106,9 @@
         Held behind all that can be on time it would never be served; let go
         first with less than its reading to spare, it would come too late.
         """
-        bed = LinesBed()
-        waiter = bed.waiter(LONG, work_s=0.3, returned=True)
-        first = bed.waiter(LONG, work_s=0.3)
+        bench = LinesBed()
+        waiter = bench.waiter(LONG, work_s=0.3, returned=True)
+        first = bench.waiter(LONG, work_s=0.3)
         found = []
         for moment in (1.0, 2.3, 2.7):
             await trio.sleep_until(waiter.job.req.arrived + moment)
@@ -118,9 +118,9 @@
 
     @virtual
     async def test_small_work(self) -> None:
-        bed = LinesBed()
-        self.assertTrue(bed.waiter(SHORT, work_s=0.01).small)
-        self.assertFalse(bed.waiter(SHORT, work_s=0.1).small)
+        bench = LinesBed()
+        self.assertTrue(bench.waiter(SHORT, work_s=0.01).small)
+        self.assertFalse(bench.waiter(SHORT, work_s=0.1).small)
 
 
 class SortTest(TestCase):
@@ -128,27 +128,27 @@
 
     @virtual
     async def test_told_by_target(self) -> None:
-        bed = LinesBed()
-        waiting = [bed.waiter(LONG, work_s=0.2), bed.waiter(SHORT, work_s=0.01), bed.waiter(LONG, work_s=2.0)]
-        bed.lines.sort(waiting)
+        bench = LinesBed()
+        waiting = [bench.waiter(LONG, work_s=0.2), bench.waiter(SHORT, work_s=0.01), bench.waiter(LONG, work_s=2.0)]
+        bench.lines.sort(waiting)
         self.assertEqual([waiter.late for waiter in waiting], [False, False, True])
-        told = {held.target_s: (held.requests, held.work_s, held.late_s) for held in bed.backlog.own}
+        told = {held.target_s: (held.requests, held.work_s, held.late_s) for held in bench.backlog.own}
         self.assertEqual(told, {LONG.target_s: (1, 0.2, 2.0), SHORT.target_s: (1, 0.01, 0)})
 
     @virtual
     async def test_nobody_waits_any_more(self) -> None:
         """The last request has gone to an engine: nobody may be refused for it, here or elsewhere."""
-        bed = LinesBed()
-        bed.lines.sort([bed.waiter(LONG, work_s=0.2)])
-        self.assertEqual(bed.lines.rivals(PREFILL), 1)
-        bed.lines.note([])
-        self.assertEqual(bed.lines.rivals(PREFILL), 0)
+        bench = LinesBed()
+        bench.lines.sort([bench.waiter(LONG, work_s=0.2)])
+        self.assertEqual(bench.lines.rivals(PREFILL), 1)
+        bench.lines.note([])
+        self.assertEqual(bench.lines.rivals(PREFILL), 0)
 
     @virtual
     async def test_wait_counts_all(self) -> None:
         """Late ones here and at others take their time too: 2 s of work for two engines."""
-        bed = LinesBed()
-        bed.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 1, 0.5, 0.5),))
-        waiting: list[Waiter] = [bed.waiter(LONG, work_s=1.0)]
-        bed.lines.sort(waiting)
-        self.assertAlmostEqual(bed.lines.wait_s(waiting), 1.1)
+        bench = LinesBed()
+        bench.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 1, 0.5, 0.5),))
+        waiting: list[Waiter] = [bench.waiter(LONG, work_s=1.0)]
+        bench.lines.sort(waiting)
+        self.assertAlmostEqual(bench.lines.wait_s(waiting), 1.1)
--- a/tests/front/test_link.py
+++ b/tests/front/test_link.py
@@ -27,13 +27,13 @@
         the link's queue, the word was lost, and front 2 took the engine for idle
         for as long as it read, half a second.
         """
-        async with running_bed(configuration(), [engine(1, 'prefill'), engine(2, 'decode')], fronts=2) as bed:
+        async with running_bed(configuration(), [engine(1, 'prefill'), engine(2, 'decode')], fronts=2) as bench:
             await trio.sleep(3)
-            bed.network.links['10.1.0.1'] = LINK_BYTES_S
-            member = bed.fronts['front-2'].fleet.members['i-llm1']
+            bench.network.links['10.1.0.1'] = LINK_BYTES_S
+            member = bench.fronts['front-2'].fleet.members['i-llm1']
             async with trio.open_nursery() as nursery:
                 req = asked_prompt('/verdict/a', tokens=TOKENS, body=BODY)
-                nursery.start_soon(bed.caller('front-1').ask, req)
+                nursery.start_soon(bench.caller('front-1').ask, req)
                 await trio.sleep(0.1)
                 self.assertGreater(member.load.wait_s(trio.current_time()), 0.2)
 
--- a/tests/front/test_load.py
+++ b/tests/front/test_load.py
@@ -124,8 +124,8 @@
         What was counted for ever had late prompts refused in calm times.
         """
         runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-            await play(bed, Random(1))
+        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+            await play(bench, Random(1))
             await trio.sleep(AFTER_S)
-            held = [line for front in bed.fronts.values() for line in front.backlog.own]
+            held = [line for front in bench.fronts.values() for line in front.backlog.own]
         self.assertEqual(held, [])
--- a/tests/front/test_lost_answers.py
+++ b/tests/front/test_lost_answers.py
@@ -61,7 +61,7 @@
     found: list[tuple[str, Seen]] = []
     readers = [engine(number, 'prefill') for number in range(1, READERS + 1)]
     runners = [*readers, *(engine(number, 'decode') for number in range(READERS + 1, 2 * READERS + 1))]
-    async with running_bed(configuration(), runners, fronts=3) as bed:
+    async with running_bed(configuration(), runners, fronts=3) as bench:
         await trio.sleep(2)
         rng = Random(seed)
         for runner in readers[: READERS // 2]:
@@ -70,7 +70,7 @@
             for _ in range(LONG_PROMPTS):
                 await trio.sleep(rng.expovariate(LONG_A_SECOND))
                 req = asked_prompt('/verdict/a', tokens=LONG_TOKENS, output=20)
-                nursery.start_soon(_ask, bed, rng.randint(1, 3), req, found)
+                nursery.start_soon(_ask, bench, rng.randint(1, 3), req, found)
     return [seen for _, seen in found]
 
 
@@ -82,12 +82,12 @@
     """Play the pattern; return what callers saw, by path."""
     found: list[tuple[str, Seen]] = []
     runners = [engine(number, 'decode') for number in range(1, ENGINES + 1)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
         await trio.sleep(2)
         rng = Random(seed)
         async with trio.open_nursery() as nursery:
             for front in range(1, FRONTS + 1):
-                nursery.start_soon(_send, bed, front, rng, found)
+                nursery.start_soon(_send, bench, front, rng, found)
             await trio.sleep(CALM_S)
             for runner in runners[:BAD]:
                 runner.faults.loses = LOSES
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -54,58 +54,58 @@
 
     @virtual
     async def test_version_in_force(self) -> None:
-        async with running_bed(configuration(1), fleet(), fronts=3) as bed:
-            bed.publish(with_route(2))
-            found = await statuses(bed, '/new/a', 4)
+        async with running_bed(configuration(1), fleet(), fronts=3) as bench:
+            bench.publish(with_route(2))
+            found = await statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_slow_store(self) -> None:
         """The store takes a quarter of a second for each answer."""
-        async with running_bed(configuration(1), fleet()) as bed:
-            bed.store.slow_s = 0.25
+        async with running_bed(configuration(1), fleet()) as bench:
+            bench.store.slow_s = 0.25
             await trio.sleep(1)
-            bed.publish(with_route(2))
-            found = await statuses(bed, '/new/a', 4)
+            bench.publish(with_route(2))
+            found = await statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_history_gone(self) -> None:
         """The store forgets its history while a version comes; the newest is read anew."""
-        async with running_bed(configuration(1), fleet()) as bed:
-            bed.store.down = True
+        async with running_bed(configuration(1), fleet()) as bench:
+            bench.store.down = True
             await trio.sleep(3)
-            bed.publish(with_route(2))
-            bed.store.compact(OPERATOR_TOPIC)
-            bed.store.compact(RUNNER_TOPIC)
-            bed.store.down = False
-            found = await statuses(bed, '/new/a', 4)
+            bench.publish(with_route(2))
+            bench.store.compact(OPERATOR_TOPIC)
+            bench.store.compact(RUNNER_TOPIC)
+            bench.store.down = False
+            found = await statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_never_back(self) -> None:
         """An older version that arrives late does not undo a newer one."""
-        async with running_bed(configuration(1), fleet()) as bed:
-            bed.publish(with_route(5))
+        async with running_bed(configuration(1), fleet()) as bench:
+            bench.publish(with_route(5))
             await trio.sleep(APPLY_S)
-            bed.publish(configuration(3))
-            found = await statuses(bed, '/new/a', 3)
+            bench.publish(configuration(3))
+            found = await statuses(bench, '/new/a', 3)
             self.assertEqual({status for _, status in found}, {200})
 
     @virtual
     async def test_version_unreadable(self) -> None:
         """A version that does not decode leaves the one before in force."""
-        async with running_bed(configuration(1), fleet()) as bed:
-            bed.publish({'version': 2, 'routes': 'none'})
+        async with running_bed(configuration(1), fleet()) as bench:
+            bench.publish({'version': 2, 'routes': 'none'})
             await trio.sleep(APPLY_S)
-            self.assertEqual((await bed.caller('front-1').ask(asked('/thumb/a'))).status, 200)
+            self.assertEqual((await bench.caller('front-1').ask(asked('/thumb/a'))).status, 200)
 
     @virtual
     async def test_store_down(self) -> None:
         """Serving goes on by what was known while the store is away."""
-        async with running_bed(configuration(1), fleet()) as bed:
-            bed.store.down = True
-            found = await statuses(bed, '/thumb/a', 8)
+        async with running_bed(configuration(1), fleet()) as bench:
+            bench.store.down = True
+            found = await statuses(bench, '/thumb/a', 8)
             self.assertEqual({status for _, status in found}, {200})
 
 
@@ -114,12 +114,12 @@
 
     @virtual
     async def test_drain(self) -> None:
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bed:
+        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             left_at = trio.current_time()
-            bed.drain_runner('i-web1')
-            found = await statuses(bed, '/card/a', 4)
+            bench.drain_runner('i-web1')
+            found = await statuses(bench, '/card/a', 4)
             self.assertEqual({status for _, status in found}, {200})
-            last = max((run.started for run in bed.runners['i-web1'].runs), default=left_at)
+            last = max((run.started for run in bench.runners['i-web1'].runs), default=left_at)
             self.assertLess(last - left_at, DRAIN_S)
 
     @virtual
@@ -130,43 +130,43 @@
         seconds, and each counted as an arrival beyond the first. One such
         answer is enough.
         """
-        async with running_bed(configuration(), fleet()) as bed:
-            new = replace_reader(bed)
+        async with running_bed(configuration(), fleet()) as bench:
+            new = replace_reader(bench)
             for _ in range(10):
                 req = asked_prompt('/verdict/a', tokens=9000)
-                self.assertEqual((await bed.caller('front-1').ask(req)).body, req.expected)
+                self.assertEqual((await bench.caller('front-1').ask(req)).body, req.expected)
             self.assertEqual(new.misdirected, 1)
 
     @virtual
     async def test_replaced_runner_is_told_to_all(self) -> None:
         """Guards against a request of each instance to a runner of which one knows that it was replaced."""
-        async with running_bed(configuration(), fleet(), fronts=3) as bed:
-            new = replace_reader(bed)
+        async with running_bed(configuration(), fleet(), fronts=3) as bench:
+            new = replace_reader(bench)
             for number in range(9):
                 req = asked_prompt('/verdict/a', tokens=9000)
-                self.assertEqual((await bed.caller(f'front-{number % 3 + 1}').ask(req)).body, req.expected)
+                self.assertEqual((await bench.caller(f'front-{number % 3 + 1}').ask(req)).body, req.expected)
             found = new.misdirected
         self.assertEqual(found, 1)
 
     @virtual
     async def test_registration_gone(self) -> None:
         """A runner's entry vanishes without a word; it gets nothing after two seconds."""
-        async with running_bed(configuration(), [plain_runner(1)]) as bed:
+        async with running_bed(configuration(), [plain_runner(1)]) as bench:
             left_at = trio.current_time()
-            bed.drop_registration('i-web1')
-            await statuses(bed, '/card/a', 4)
-            last = max(run.started for run in bed.runners['i-web1'].runs)
+            bench.drop_registration('i-web1')
+            await statuses(bench, '/card/a', 4)
+            last = max(run.started for run in bench.runners['i-web1'].runs)
             self.assertLess(last - left_at, DRAIN_S)
 
     @virtual
     async def test_registrations_lapse_for_a_moment(self) -> None:
         """All entries lapse with the store and are back a second later; no caller notices."""
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bed:
-            for key in tuple(bed.runners):
-                bed.drop_registration(key)
+        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
+            for key in tuple(bench.runners):
+                bench.drop_registration(key)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_register_again, bed, 0.8)
-                found = await statuses(bed, '/card/a', 4)
+                nursery.start_soon(_register_again, bench, 0.8)
+                found = await statuses(bench, '/card/a', 4)
             self.assertEqual({status for _, status in found}, {200})
 
 
@@ -180,11 +180,11 @@
         It finishes what is under way, answers what still comes with the word
         that it closes, and is done before the platform would end it by force.
         """
-        async with running_bed(configuration(), fleet()) as bed:
-            front = bed.fronts['front-1']
+        async with running_bed(configuration(), fleet()) as bench:
+            front = bench.fronts['front-1']
             found: list[Seen] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_ask_for, bed, 3.0, found)
+                nursery.start_soon(_ask_for, bench, 3.0, found)
                 await trio.sleep(0.5)
                 stopped_at = trio.current_time()
                 await front.wind_down()
@@ -202,13 +202,13 @@
         in the middle of its answer. One that is sure to end in time is served.
         """
         runners = [engine(1, 'decode', speed=SLOW_STREAM)]
-        async with running_bed(configuration(), [*runners, plain_runner(1)]) as bed:
-            callers = [bed.caller('front-1', f'10.2.0.{number}') for number in (1, 2)]
+        async with running_bed(configuration(), [*runners, plain_runner(1)]) as bench:
+            callers = [bench.caller('front-1', f'10.2.0.{number}') for number in (1, 2)]
             async with trio.open_nursery() as nursery:
                 for caller in callers:
                     nursery.start_soon(caller.ask, asked_prompt('/verdict/a', output=80, deadline_s=20.0))
                 await trio.sleep(0.5)
-                nursery.start_soon(bed.fronts['front-1'].wind_down)
+                nursery.start_soon(bench.fronts['front-1'].wind_down)
                 await trio.sleep(5)
                 turned_away = await callers[0].ask(asked_prompt('/verdict/a', output=80, deadline_s=8.0))
                 served = await callers[1].ask(asked('/thumb/a', deadline_s=1.0))
@@ -226,11 +226,11 @@
         come back after a third of the rest: the longest that callers heed.
         """
         async with trio.open_nursery() as nursery:
-            bed = PlatformBed(nursery)
-            front = bed.add_front(1)
+            bench = PlatformBed(nursery)
+            front = bench.add_front(1)
             await trio.sleep(1)
             self.assertFalse(front.ready())
-            seen = await bed.caller('front-1').ask(asked('/thumb/a'))
+            seen = await bench.caller('front-1').ask(asked('/thumb/a'))
             self.assertEqual((seen.status, seen.retry_after_s), (503, 0.667))
             self.assertLess(seen.took_s, 1.1)
             nursery.cancel_scope.cancel()
