--- a/tests/front/test_beside_harmful_requests.py
+++ b/tests/front/test_beside_harmful_requests.py
@@ -52,25 +52,25 @@
         """
         for seed in SEEDS:
             async with running_bed(configuration(), engines(4), fronts=FRONTS) as bench:
-                found: list[Seen] = []
+                answers: list[Seen] = []
                 async with trio.open_nursery() as nursery:
-                    await ask_beside(bench, Random(seed), found, nursery)
+                    await ask_beside(bench, Random(seed), answers, nursery)
                 with self.subTest(seed=seed):
                     self.assertGreaterEqual(len(bench.ended), ENDED_BY_THEN)
-                    self.assertEqual([seen for seen in found if seen.status != GOOD or not seen.whole], [])
+                    self.assertEqual([seen for seen in answers if seen.status != GOOD or not seen.whole], [])
 
     @virtual
     async def test_twin_tried_together(self) -> None:
         """Without exclusive probes, a healthy request at the same runner is taken for the poison request."""
-        found: list[Seen] = []
+        answers: list[Seen] = []
         shared_probes = (
             patch.object(Trials, 'won', return_value=True),
             patch.object(Trials, 'taken', return_value=False),
         )
         with shared_probes[0], shared_probes[1]:
             async with running_bed(configuration(), engines(4), fronts=FRONTS) as bench, trio.open_nursery() as nursery:
-                await ask_beside(bench, Random(1), found, nursery)
-        self.assertNotEqual([seen for seen in found if seen.status != GOOD], [])
+                await ask_beside(bench, Random(1), answers, nursery)
+        self.assertNotEqual([seen for seen in answers if seen.status != GOOD], [])
 
     @virtual
     async def test_asked_often_while_three_runners_end(self) -> None:
@@ -113,17 +113,17 @@
         """
         runners = [engine(number, 'decode') for number in (1, 2)]
         async with running_bed(configuration(), runners, fronts=1) as bench:
-            found: list[Seen] = []
+            answers: list[Seen] = []
             async with trio.open_nursery() as nursery:
                 for number in range(24):
                     req = asked_prompt('/tag/a', output=10)._replace(body=f'sound {number}'.encode())
-                    nursery.start_soon(ask_again, bench, ['front-1'], req, found)
+                    nursery.start_soon(ask_again, bench, ['front-1'], req, answers)
                 await trio.sleep(0.15)
                 front = bench.fronts['front-1'].cfg.host
                 bench.network.cut.add(frozenset((front, runners[0].address.host)))
                 bench.network.reset_all(runners[0].address.host)
-            self.assertEqual({seen.status for seen in found}, {GOOD})
-            self.assertLess(max(seen.took_s for seen in found), LATEST_S)
+            self.assertEqual({seen.status for seen in answers}, {GOOD})
+            self.assertLess(max(seen.took_s for seen in answers), LATEST_S)
 
     @virtual
     async def test_at_runners_that_leave(self) -> None:
@@ -134,13 +134,13 @@
         runners = [engine(number, 'decode') for number in range(1, 5)]
         async with running_bed(configuration(), runners, fronts=1) as bench:
             req = asked_prompt('/tag/a', output=60)._replace(body=b'long')
-            found: list[Seen] = []
+            answers: list[Seen] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask_again, bench, ['front-1', 'front-1'], req, found)
+                nursery.start_soon(ask_again, bench, ['front-1', 'front-1'], req, answers)
                 for _ in runners[:3]:
                     await trio.sleep(0.3)
                     busy = next(one for one in runners if one.running)
                     bench.drain_runner(busy.key)
                     await trio.sleep(0.5)
                     bench.end_runner(busy)
-            self.assertEqual((found[0].status, found[0].whole), (GOOD, True))
+            self.assertEqual((answers[0].status, answers[0].whole), (GOOD, True))
--- a/tests/front/test_choice.py
+++ b/tests/front/test_choice.py
@@ -36,6 +36,7 @@
 
     @virtual
     async def test_one_failing_left_out(self) -> None:
+        """Guards against sending to a runner whose answers keep failing, while four others work."""
         fleet, chooser, job = build(5)
         for _ in range(3):
             fleet.members['i-0'].health.bad(0)
--- a/tests/front/test_content.py
+++ b/tests/front/test_content.py
@@ -14,8 +14,8 @@
 def arrived(caller: str = '10.2.0.1', at: float = 0, **changes: object) -> FrontRequest:
     """Return a decoded request with a new request id."""
     parts = changes.pop('parts', (('s1', 90), ('own', 300)))
-    asked = asked_prompt('/tag/a')._replace(parts=parts, **changes)  # type: ignore[arg-type]
-    return decode_request(Message(asked.head, asked.body, at, caller))
+    request = asked_prompt('/tag/a')._replace(parts=parts, **changes)  # type: ignore[arg-type]
+    return decode_request(Message(request.head, request.body, at, caller))
 
 
 class ContentIdTest(TestCase):
@@ -28,6 +28,7 @@
         self.assertEqual(content_id(first), content_id(retry))
 
     def test_other_requests(self) -> None:
+        """Guards against different requests that get the same content id."""
         others = (
             arrived(body=b'{"q": 1}'),
             arrived(path='/tag/b'),
--- a/tests/front/test_entries.py
+++ b/tests/front/test_entries.py
@@ -14,7 +14,7 @@
 FRONTS = 5
 # Time until the other instances know of a changed record, by polling the store or by an update.
 READ_S = 2.5
-# Time until the polling instance has heard its peers, has declared one of them
+# Time until the polling instance has received heartbeats, has declared one peer
 # dead, and all know. Twice the time-out, since the failed one may be polling.
 MISSED_S = 2 * LOST_S + READ_S
 OTHERS = tuple(f'e{number}' for number in range(10))
@@ -41,6 +41,7 @@
             self.members.join(name, 0)
 
     def test_lost_after_silence(self) -> None:
+        """A peer is declared dead after the time-out without any message, not before."""
         for name in OTHERS[1:]:
             self.members.heard(name, LOST_S)
         self.assertEqual(self.members.lost(LOST_S), [])
@@ -80,6 +81,7 @@
         self.assertIsNone(self.members.untold(ALIVE_S))
 
     def test_own_record_is_no_other(self) -> None:
+        """Guards against an instance that counts its own record as a peer."""
         self.members.join('e-own', 0)
         self.assertNotIn('e-own', self.members)
 
--- a/tests/front/test_failures.py
+++ b/tests/front/test_failures.py
@@ -35,8 +35,8 @@
     async def test_break_not_repeatable(self) -> None:
         """Guards against a second run of a non-idempotent request after a connection reset.
 
-        Whether it ran is unknown. The caller gets 502, which does not claim
-        either, and no second runner gets the request.
+        Whether it ran is unknown. The caller gets 502, which claims neither,
+        and no second runner gets the request.
         """
         async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             for runner in bench.runners.values():
--- a/tests/front/test_foreign_records.py
+++ b/tests/front/test_foreign_records.py
@@ -77,11 +77,13 @@
         self.assertEqual((runner.slots, runner.born_ms), (24, 1_700_000_000_000))
 
     def test_field_missing(self) -> None:
+        """Guards against a registration that is accepted without a required field."""
         for name in REQUIRED:
-            rest = {key: found for key, found in registration().items() if key != name}
-            self.assertTrue(unreadable(msgspec.json.encode(rest)), name)
+            incomplete = {key: field_value for key, field_value in registration().items() if key != name}
+            self.assertTrue(unreadable(msgspec.json.encode(incomplete)), name)
 
     def test_field_wrong(self) -> None:
+        """Guards against a registration that is accepted with a field of the wrong type or out of range."""
         for changes in WRONG:
             self.assertTrue(unreadable(msgspec.json.encode(registration(**changes))), changes)
 
@@ -97,6 +99,7 @@
     @given(st.data())
     @settings(derandomize=True, max_examples=300)
     def test_record_cut(self, draws: st.DataObject) -> None:
+        """Guards against a truncated registration that is accepted."""
         text = msgspec.json.encode(registration())
         end = draws.draw(st.integers(0, len(text) - 1))
         self.assertTrue(unreadable(text[:end]))
@@ -104,6 +107,7 @@
     @given(st.binary(max_size=200))
     @settings(derandomize=True, max_examples=300)
     def test_record_binary(self, text: bytes) -> None:
+        """Guards against arbitrary bytes that are accepted as a registration."""
         self.assertTrue(unreadable(text))
 
 
@@ -113,6 +117,7 @@
     @given(st.data())
     @settings(derandomize=True, max_examples=200)
     def test_configuration_changed(self, draws: st.DataObject) -> None:
+        """Guards against a configuration that is accepted with an invalid value in any field."""
         document = configuration()
         row = draws.draw(st.sampled_from([document, document['limits'], *document['routes'], *document['services']]))
         row[draws.draw(st.sampled_from(sorted(row)))] = draws.draw(FOREIGN)
@@ -121,15 +126,19 @@
         except UnreadableRecordError:
             return
         # A replaced field is accepted only if it may be null or any text.
-        self.assertTrue(any(found is None or isinstance(found, str | bool) for found in _written(document)))
+        self.assertTrue(
+            any(field_value is None or isinstance(field_value, str | bool) for field_value in _written(document))
+        )
 
     @given(st.binary(max_size=200))
     @settings(derandomize=True, max_examples=200)
     def test_configuration_binary(self, text: bytes) -> None:
+        """Guards against arbitrary bytes that are accepted as a configuration."""
         with self.assertRaises(UnreadableRecordError):
             decode_configuration(text)
 
     def test_route_names_no_service(self) -> None:
+        """Guards against a configuration that is accepted with a route without a service."""
         document = configuration()
         document['routes'][0].pop('service')
         with self.assertRaises(UnreadableRecordError):
@@ -238,4 +247,4 @@
 
 def _written(document: dict[str, Any]) -> list[Any]:
     rows = [document, document['limits'], *document['routes'], *document['services']]
-    return [found for row in rows if isinstance(row, dict) for found in row.values()]
+    return [field_value for row in rows if isinstance(row, dict) for field_value in row.values()]
--- a/tests/front/test_gate.py
+++ b/tests/front/test_gate.py
@@ -39,28 +39,28 @@
     def test_connections_come_from_the_pool(self) -> None:
         """Guards against a new kind of send over a connection that skips the check."""
         root = Path(sesamepoint.__file__).parent
-        found = {
+        modules = {
             path.relative_to(root).as_posix() for path in root.rglob('*.py') if 'ClientConn(' in path.read_text('utf-8')
         }
-        self.assertEqual(found, {POOL, *ELSEWHERE})
+        self.assertEqual(modules, {POOL, *ELSEWHERE})
 
     @virtual
     async def test_open(self) -> None:
         """Guards against a test bench on which every send is blocked."""
         for kind, send in SENDS.items():
             with self.subTest(kind=kind):
-                found = bed()
-                await send(found)
-                self.assertNotEqual(found.network.transport.sent, b'')
+                bench = bed()
+                await send(bench)
+                self.assertNotEqual(bench.network.transport.sent, b'')
 
     @virtual
     async def test_closed_while_connecting(self) -> None:
         """Guards against sends to a runner whose status has changed since it was chosen."""
         for kind, send in SENDS.items():
-            for condition, close in CLOSES.items():
+            for condition, trigger in CLOSES.items():
                 with self.subTest(kind=kind, condition=condition):
                     concerned = condition not in OF_REQUESTS or kind not in CALLS_BESIDES
-                    self.assertEqual(await _sent(send, close) == b'', concerned)
+                    self.assertEqual(await _sent(send, trigger) == b'', concerned)
 
     @virtual
     async def test_twin_that_asks_at_the_choice_only(self) -> None:
@@ -76,9 +76,9 @@
 
 
 async def _sent(send: Send, close: Close) -> bytes:
-    found = bed()
+    bench = bed()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(send, found)
+        nursery.start_soon(send, bench)
         await trio.sleep(CONNECT_S / 2)
-        close(found)
-    return found.network.transport.sent
+        close(bench)
+    return bench.network.transport.sent
--- a/tests/front/test_harmful_requests.py
+++ b/tests/front/test_harmful_requests.py
@@ -242,6 +242,7 @@
     """A poison request while runners start, stop and fail and the store is unavailable at times."""
 
     def test_promises_kept(self) -> None:
+        """Guards against a poison request that is sent too often, whatever instances and runners go through."""
         for seed in SEEDS_AMONG_FAULTS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_virtual(play, seed, seed=seed), [])
@@ -250,5 +251,5 @@
         """Instances that forget which runners ended under a request exceed the bound."""
         seed = SEEDS_AMONG_FAULTS[-1]
         with patch.object(Suspects, 'note_end', return_value=0):
-            found = run_virtual(play, seed, seed=seed)
-        self.assertTrue(any(line.startswith('harmful') for line in found))
+            violations = run_virtual(play, seed, seed=seed)
+        self.assertTrue(any(text.startswith('harmful') for text in violations))
--- a/tests/front/test_known_engines.py
+++ b/tests/front/test_known_engines.py
@@ -35,6 +35,7 @@
 
     @virtual
     async def test_small_fleet_known_whole(self) -> None:
+        """Guards against instances that use only a part of a small fleet."""
         subset = KnownEngines('front-1', fleet_of(KNOWN))
         self.assertEqual(len(subset.of_service('llm')), KNOWN)
         self.assertTrue(subset.whole)
@@ -60,7 +61,7 @@
 
     @virtual
     async def test_others_known_alike(self) -> None:
-        """Guards against a send that is not announced to a peer that uses the engine, or to one that does not."""
+        """Guards against a send that is announced to the wrong peers, rather than to those that use the engine."""
         fleet = fleet_of(100)
         first = KnownEngines('front-1', fleet)
         second = KnownEngines('front-2', fleet)
@@ -69,6 +70,7 @@
 
     @virtual
     async def test_plain_services_known_whole(self) -> None:
+        """Guards against instances that use only a part of the runners of a plain service."""
         self.assertEqual(len(KnownEngines('front-1', fleet_of(600)).of_service('web')), 40)
 
     @virtual
--- a/tests/front/test_leaving_in_answers.py
+++ b/tests/front/test_leaving_in_answers.py
@@ -1,8 +1,7 @@
-"""Runners that say in their answers that they leave, while the store tells nothing of it.
+"""Runners that announce in a header of their answers that they are draining, while the store does not show it.
 
-Seen: an engine said so in its answers, and got 7 to 13 requests a second for 13 s more.
-How: the store was away when it reported its leaving; instances had its answers, and passed them on.
-Cause: leaving was a field of a registration only; nobody read it in answers.
+An engine began to drain while the store was unavailable, and went on to get 7 to 13 requests a second for 13 s.
+Its answers said so, but instances read the draining state from registrations only.
 """
 
 from __future__ import annotations
@@ -29,23 +28,23 @@
     from sesamepoint_standins.platform.runner import RunnerStandIn
 
 SAYS = (b'1',)
-# The store has gone so long before, in seconds.
+# Load runs so long before the store goes down, and the store is down so long before the runner drains, in seconds.
 AWAY_S = 1.0
 LENGTH_S = 6.0
-# From the head of an answer on nothing is sent there; a request may be under way, in seconds.
+# Requests in flight when the head of the answer arrives may still reach the runner, within so many seconds.
 AT_ONCE_S = 0.02
-# Until the others know of a new instance, and it has been told, in seconds.
+# Time until its peers know of a new instance and have sent it the runner statuses, in seconds.
 LISTED_S = 1.5
-# Until a word that was lost has been told again, in seconds.
+# Time until a lost announcement has been sent again, in seconds.
 TOLD_AGAIN_S = 1.5
-# Until a runner is forgotten whose registration has vanished, in seconds.
+# Time until a runner without a registration is dropped, in seconds.
 GONE_S = 3.0
 GOOD = 200
 NOT_RUN = 503
 
 
 async def leave_unheard(bed: PlatformBed, runner: RunnerStandIn, load: Load) -> None:
-    """Have the store go, then ``runner`` leave, under ``load``."""
+    """Under ``load``, take the store down, then have ``runner`` announce that it is draining."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send, bed, Random(1), load)
         await trio.sleep(AWAY_S)
@@ -55,11 +54,11 @@
 
 
 class LeavingTest(TestCase):
-    """What reaches a runner that has said in an answer that it leaves."""
+    """Requests that reach a runner after it has announced in an answer that it is draining."""
 
     @virtual
     async def test_engine_while_the_store_is_away(self) -> None:
-        """Guards against an engine that is sent requests after it said that it leaves."""
+        """Guards against requests to an engine after it announced that it is draining."""
         runners = engines(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             await leave_unheard(bench, runners[0], Load(short_prompt, 90, LENGTH_S))
@@ -67,7 +66,7 @@
 
     @virtual
     async def test_plain_runner_while_the_store_is_away(self) -> None:
-        """Guards against a plain runner that is sent requests after it said that it leaves."""
+        """Guards against requests to a plain runner after it announced that it is draining."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             await leave_unheard(bench, runners[0], Load(fetch, 90, LENGTH_S))
@@ -75,21 +74,21 @@
 
 
 class LeavingSendsTest(TestCase):
-    """Ways round the word of a runner that leaves."""
+    """Kinds of sends, and states of the system, in which the draining header could be missed."""
 
     @virtual
     async def test_reader_while_the_store_is_away(self) -> None:
-        """Guards against prompts that are read apart, and memory that is freed, at an engine that leaves."""
+        """Guards against remote prefills, and calls that free memory, at an engine that is draining."""
         runners = engines(0, 4)
-        reader = runners[-1]
+        prefill_engine = runners[-1]
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
-            await leave_unheard(bench, reader, Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S))
-        self.assertTrue(reader.told)
-        self.assertEqual(after_leaving(reader, AT_ONCE_S), [])
+            await leave_unheard(bench, prefill_engine, Load(partial(asked_prompt, '/verdict/a', 3000), 40, LENGTH_S))
+        self.assertTrue(prefill_engine.told)
+        self.assertEqual(after_leaving(prefill_engine, AT_ONCE_S), [])
 
     @virtual
     async def test_second_steps_and_retries(self) -> None:
-        """Guards against second steps, and retries, that were planned at an engine before it said that it leaves."""
+        """Guards against decode steps and retries that were planned at an engine before it began to drain."""
         runners = engines(0, 4)
         for runner in runners:
             runner.faults.loses = 0.3
@@ -100,7 +99,7 @@
 
     @virtual
     async def test_said_in_failures(self) -> None:
-        """Guards against a word that is heard in good answers only."""
+        """Guards against a draining header that is read in successful answers only."""
         runners = plain_runners(0, 4)
         runners[0].faults.fails = True
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
@@ -110,16 +109,16 @@
 
     @virtual
     async def test_told_to_all(self) -> None:
-        """Guards against instances that find out by a request of their own."""
+        """Guards against instances that only learn of the drain from an answer to a request of their own."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             await leave_unheard(bench, runners[0], Load(fetch, 90, LENGTH_S))
-        first = min(told.at for told in runners[0].told)
+        first = min(answer.at for answer in runners[0].told)
         self.assertEqual([at for at in runners[0].arrivals if at > first + AT_ONCE_S], [])
 
     @virtual
     async def test_told_to_newcomers(self) -> None:
-        """Guards against an instance that starts later and finds out by a request of its own."""
+        """Guards against an instance that starts later and learns of the drain from a request of its own."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
@@ -133,7 +132,7 @@
 
     @virtual
     async def test_word_is_lost_on_the_way(self) -> None:
-        """Guards against a word to the others that is told once and lost."""
+        """Guards against an announcement to peers that is sent once and lost."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             bench.network.datagrams_lost = True
@@ -147,7 +146,7 @@
 
     @virtual
     async def test_registration_that_is_late(self) -> None:
-        """Guards against a registration, read late or from a store that went back, that calls the runner ready."""
+        """Guards against a stale registration, read late or after a rollback of the store, that says ready."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
@@ -162,7 +161,7 @@
 
     @virtual
     async def test_answers_in_flight_without_the_word(self) -> None:
-        """Guards against the end of a leaving by answers that were made before it was said."""
+        """Guards against ending the draining state because of answers without the header, made before it."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
@@ -174,7 +173,7 @@
 
     @virtual
     async def test_starts_again(self) -> None:
-        """Guards against a word that stays with a runner which has started again under its key."""
+        """Guards against a draining state that is kept for a runner restarted under the same key."""
         runners = plain_runners(0, 4)
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
             runners[0].says_leaving = SAYS
@@ -189,18 +188,18 @@
 
 
 class AllLeaveTest(TestCase):
-    """What callers get while all runners of a service leave."""
+    """What callers get while all runners of a service are draining."""
 
     @virtual
     async def test_refused_at_once(self) -> None:
-        """Guards against callers that wait, or are sent on, while all runners leave."""
-        for runners, load in ((plain_runners(0, 2), fetch), (engines(0, 2), short_prompt)):
-            with self.subTest(load=load):
-                seen, came = await self._all_leave(runners, load)
+        """Guards against requests that wait or are sent, rather than refused, while all runners are draining."""
+        for runners, build_request in ((plain_runners(0, 2), fetch), (engines(0, 2), short_prompt)):
+            with self.subTest(load=build_request):
+                seen, arrivals = await self._all_leave(runners, build_request)
                 self.assertEqual({one.status for one in seen}, {NOT_RUN})
                 self.assertTrue(all(one.retry_after_s for one in seen))
                 self.assertLess(max(one.took_s for one in seen), AT_ONCE_S)
-                self.assertEqual(came, 0)
+                self.assertEqual(arrivals, 0)
 
     async def _all_leave(self, runners: list[RunnerStandIn], load: Callable[[], Asked]) -> tuple[list[Seen], int]:
         async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
@@ -214,18 +213,18 @@
 
 
 class MalformedLeavingTest(TestCase):
-    """Texts that are no word of leaving."""
+    """Draining headers with invalid or repeated values."""
 
     @virtual
     async def test_malformed(self) -> None:
-        """Guards against runners that are left out, or instances that fall over, for a text that says nothing."""
+        """Guards against excluding a runner or crashing an instance because of an invalid value."""
         for texts in ((b'',), (b'0',), (b'2',), (b'yes',), (b'0', b'0'), (b'9' * 400,), (b'\xff',)):
             with self.subTest(texts=texts):
                 self.assertGreater(await self._came_after(texts), 20)
 
     @virtual
     async def test_said_twice(self) -> None:
-        """Guards against a word that is not heard beside a text that says nothing."""
+        """Guards against ignoring a valid value that comes with an invalid one."""
         for texts in ((b'0', b'1'), (b'1', b'yes'), (b'1', b'1')):
             with self.subTest(texts=texts):
                 self.assertEqual(await self._came_after(texts), 0)
--- a/tests/front/test_limit_faults.py
+++ b/tests/front/test_limit_faults.py
@@ -1,4 +1,4 @@
-"""Runners that name limits, among random faults by fixed seeds."""
+"""Rate limits of runners under random faults with fixed seeds."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class LimitFaultsTest(TestCase):
-    """What reaches runners under kills, cuts, lost words, a store that is away, and limits that change."""
+    """Requests that reach runners under kills, network cuts, lost datagrams, store outages and changing limits."""
 
     def test_limits_kept(self) -> None:
-        """Guards against more than a limit allows, whatever befalls instances and runners."""
+        """Guards against more requests than a rate limit allows, whatever instances and runners go through."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_virtual(play, seed, seed=seed), [])
 
     def test_twin_that_heeds_no_limit(self) -> None:
-        """The oracle finds what the limits prevent."""
+        """Without the rate limits, the oracle finds requests beyond them."""
         with patch.object(RunnerLimits, 'has_permit', _always), patch.object(RunnerLimits, 'set_aside', _always):
-            found = [line for seed in SEEDS for line in run_virtual(play, seed, seed=seed)]
-        self.assertTrue(any(line.startswith('limit') for line in found))
+            violations = [text for seed in SEEDS for text in run_virtual(play, seed, seed=seed)]
+        self.assertTrue(any(text.startswith('limit') for text in violations))
--- a/tests/front/test_lines.py
+++ b/tests/front/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines of waiting requests: who is late behind whom."""
+"""Queues of waiting requests and the check of which ones can't meet their deadlines."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 
 class ReceiveTest(TestCase):
-    """A newcomer behind those that wait."""
+    """The deadline check of a request that arrives while others wait."""
 
     @virtual
     async def test_short_before_long(self) -> None:
-        """All callers come back after an outage; three long prompts wait, 0.9 s of reading.
+        """Guards against refusing a short prompt because of long ones that are due later.
 
-        A short one that takes 4 ms and is due in 0.34 s is served before
-        them. Counted behind them it was refused, though engines had time.
+        After an outage three long prompts wait, 0.9 s of prefill. A short one
+        that takes 4 ms and is due in 0.34 s goes before them. It was counted
+        behind them and refused, though engines had time.
         """
         bench = LinesBed()
         waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(3)]
@@ -34,7 +35,7 @@
 
     @virtual
     async def test_long_behind_long(self) -> None:
-        """Two engines, 1.2 s of reading ahead, due in 0.6 s: late, whoever is asked."""
+        """With two engines and 1.2 s of prefill queued, a request that is due in 0.6 s is late."""
         bench = LinesBed()
         waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(4)]
         newcomer = bench.waiter(LONG, work_s=0.1)
@@ -43,6 +44,7 @@
 
     @virtual
     async def test_late_ones_not_ahead(self) -> None:
+        """Guards against counting work that is already late as ahead of a new request."""
         bench = LinesBed()
         waiting = [bench.waiter(LONG, work_s=0.3) for _ in range(4)]
         for waiter in waiting:
@@ -53,7 +55,7 @@
 
     @virtual
     async def test_rivals_at_other_entries(self) -> None:
-        """What others hold counts if it is due as soon, and for as long as their word is fresh."""
+        """Work queued at peers counts if it is due no later, and until their report expires."""
         bench = LinesBed()
         for target_s, late in ((SHORT.target_s, True), (LONG.target_s, True), (LONG.target_s + 1, False)):
             bench.backlog.heard('front-2', (Held(PREFILL, target_s, 8, 1.4),))
@@ -69,15 +71,16 @@
 
 
 class SharesTest(TestCase):
-    """Entries of a large fleet, each of which knows a share of it."""
+    """Instances that each use a subset of a large fleet."""
 
     @virtual
     async def test_work_of_others_by_share(self) -> None:
-        """Of 96 engines each entry knows some 24, and others hold 9.6 s of work.
+        """Guards against refusals because work queued at peers is counted in full.
 
-        A quarter of it will come to the engines known here. Counted whole, as
-        if all entries knew the same engines, the wait came out four times as
-        long, and callers were refused that could have been served.
+        Of 96 engines each instance uses some 24, and peers have 9.6 s of work
+        queued. A quarter of it will reach the engines used here. Counted in
+        full, it made the expected wait four times as long, and callers were
+        refused that could have been served.
         """
         bench = LinesBed(readers=4 * KNOWN)
         engines = sum(member.runner.stage is Stage.prefill for member in bench.known.of_service('llm'))
@@ -89,11 +92,11 @@
 
 
 class ReturnedTest(TestCase):
-    """Callers that come back: late at once, and before all others when it is now or never."""
+    """Retries of callers: late from the start, and before all others when their latest start time is near."""
 
     @virtual
     async def test_returned_is_late(self) -> None:
-        """Nobody waits, but its time runs since its first attempt."""
+        """A retry is late even if no other request waits: its time has run since the first attempt."""
         bench = LinesBed()
         newcomer = bench.waiter(LONG, work_s=0.1, returned=True)
         bench.lines.receive(newcomer, [])
@@ -101,43 +104,47 @@
 
     @virtual
     async def test_returned_last_call(self) -> None:
-        """Its caller leaves after 3.2 s without a first event; 0.3 s of reading need 0.36 s.
+        """Guards against retries that are never served, and against sending those that come too late.
 
-        Held behind all that can be on time it would never be served; let go
-        first with less than its reading to spare, it would come too late.
+        The caller disconnects after 3.2 s without a first event, and 0.3 s of
+        prefill take 0.36 s. Behind all requests that can be on time it would
+        never be served; sent with less slack than its prefill, it would come
+        too late.
         """
         bench = LinesBed()
         waiter = bench.waiter(LONG, work_s=0.3, returned=True)
         first = bench.waiter(LONG, work_s=0.3)
-        found = []
+        states = []
         for moment in (1.0, 2.3, 2.7):
             await trio.sleep_until(waiter.job.req.arrived + moment)
-            found.append((waiter.last_call, waiter.too_late))
+            states.append((waiter.last_call, waiter.too_late))
             self.assertFalse(first.last_call)
-        self.assertEqual(found, [(False, False), (True, False), (True, True)])
+        self.assertEqual(states, [(False, False), (True, False), (True, True)])
 
     @virtual
     async def test_small_work(self) -> None:
+        """10 ms of prefill count as small work, 100 ms do not."""
         bench = LinesBed()
         self.assertTrue(bench.waiter(SHORT, work_s=0.01).small)
         self.assertFalse(bench.waiter(SHORT, work_s=0.1).small)
 
 
 class SortTest(TestCase):
-    """What is told to the other entries."""
+    """The report of queued work that is published to peers."""
 
     @virtual
     async def test_told_by_target(self) -> None:
+        """Timely and late work is summed by the latency target of its route."""
         bench = LinesBed()
         waiting = [bench.waiter(LONG, work_s=0.2), bench.waiter(SHORT, work_s=0.01), bench.waiter(LONG, work_s=2.0)]
         bench.lines.sort(waiting)
         self.assertEqual([waiter.late for waiter in waiting], [False, False, True])
-        told = {held.target_s: (held.requests, held.work_s, held.late_s) for held in bench.backlog.own}
-        self.assertEqual(told, {LONG.target_s: (1, 0.2, 2.0), SHORT.target_s: (1, 0.01, 0)})
+        published = {queued.target_s: (queued.requests, queued.work_s, queued.late_s) for queued in bench.backlog.own}
+        self.assertEqual(published, {LONG.target_s: (1, 0.2, 2.0), SHORT.target_s: (1, 0.01, 0)})
 
     @virtual
     async def test_nobody_waits_any_more(self) -> None:
-        """The last request has gone to an engine: nobody may be refused for it, here or elsewhere."""
+        """Guards against refusals because of a request that has left the queue for an engine."""
         bench = LinesBed()
         bench.lines.sort([bench.waiter(LONG, work_s=0.2)])
         self.assertEqual(bench.lines.rivals(PREFILL), 1)
@@ -146,7 +153,7 @@
 
     @virtual
     async def test_wait_counts_all(self) -> None:
-        """Late ones here and at others take their time too: 2 s of work for two engines."""
+        """Late requests here and at peers count as well: 2 s of work for two engines."""
         bench = LinesBed()
         bench.backlog.heard('front-2', (Held(PREFILL, LONG.target_s, 1, 0.5, 0.5),))
         waiting: list[Waiter] = [bench.waiter(LONG, work_s=1.0)]
--- a/tests/front/test_link.py
+++ b/tests/front/test_link.py
@@ -1,4 +1,4 @@
-"""Links of 10 Mbit/s, which a large body fills for tens of milliseconds."""
+"""Slow links of 10 Mbit/s, which a large request body fills for tens of milliseconds."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class AnnounceTest(TestCase):
-    """Word of long work before the work itself."""
+    """Announcements of long prefills to peers."""
 
     @virtual
     async def test_word_before_body(self) -> None:
-        """The longest prompts have the largest bodies; their word must not come behind them.
+        """Guards against announcements of the longest prompts that are lost behind their own bodies.
 
-        Front 1 has a link of 10 Mbit/s. Sent after the body, which fills
-        the link's queue, the word was lost, and front 2 took the engine for idle
-        for as long as it read, half a second.
+        Front 1 has a link of 10 Mbit/s. The announcement was sent after the
+        body, which fills the link's queue, and was lost; front 2 took the
+        engine for idle during its prefill, half a second.
         """
         async with running_bed(configuration(), [engine(1, 'prefill'), engine(2, 'decode')], fronts=2) as bench:
             await trio.sleep(3)
@@ -39,10 +39,11 @@
 
 
 class PacerTest(TestCase):
-    """What is sent over a link, spread over its rate."""
+    """Sends that are paced to the rate of a link."""
 
     @virtual
     async def test_queue_stays_short(self) -> None:
+        """Guards against large sends that fill the queue of the link, and against sending too slowly."""
         pacer = LinkPacer(LINK_BYTES_S)
         started = trio.current_time()
         for _ in range(20):
@@ -53,6 +54,7 @@
 
     @virtual
     async def test_small_sends_do_not_wait(self) -> None:
+        """Guards against pacing that delays sends below the rate of the link."""
         pacer = LinkPacer(LINK_BYTES_S)
         started = trio.current_time()
         for _ in range(10):
--- a/tests/front/test_lost_answers.py
+++ b/tests/front/test_lost_answers.py
@@ -1,9 +1,9 @@
-"""Engines that run requests and lose a part of the answers.
+"""Engines that run requests and lose a share of the answers.
 
-The pattern is that of the larger of today's deployments: for 4 s every fourth engine loses
-four answers in ten, as a reset, while its health is good. Requests come to each entry at eight a
-second, so that it sends one to each engine every two seconds, and would learn which
-ones lose answers when that is over. Half of the requests may go on elsewhere, half must not.
+The load is that of the larger of the two deployments: for 4 s every fourth engine loses four answers
+in ten by a connection reset, while its health checks pass. Each instance gets eight requests a
+second, so it sends one to each engine every two seconds, and alone would find out which ones lose
+answers when the loss is over. Half of the requests may be resumed at another engine, half must not.
 """
 
 from __future__ import annotations
@@ -57,21 +57,21 @@
 
 
 async def play_failed_reads(seed: int) -> list[Seen]:
-    """Have long prompts read while half of the engines that read lose answers; return what callers saw."""
-    found: list[tuple[str, Seen]] = []
-    readers = [engine(number, 'prefill') for number in range(1, READERS + 1)]
-    runners = [*readers, *(engine(number, 'decode') for number in range(READERS + 1, 2 * READERS + 1))]
+    """Send long prompts while half of the prefill engines lose answers; return what callers saw."""
+    answers: list[tuple[str, Seen]] = []
+    prefill_engines = [engine(number, 'prefill') for number in range(1, READERS + 1)]
+    runners = [*prefill_engines, *(engine(number, 'decode') for number in range(READERS + 1, 2 * READERS + 1))]
     async with running_bed(configuration(), runners, fronts=3) as bench:
         await trio.sleep(2)
         rng = Random(seed)
-        for runner in readers[: READERS // 2]:
+        for runner in prefill_engines[: READERS // 2]:
             runner.faults.loses = LOSES
         async with trio.open_nursery() as nursery:
             for _ in range(LONG_PROMPTS):
                 await trio.sleep(rng.expovariate(LONG_A_SECOND))
                 req = asked_prompt('/verdict/a', tokens=LONG_TOKENS, output=20)
-                nursery.start_soon(_ask, bench, rng.randint(1, 3), req, found)
-    return [seen for _, seen in found]
+                nursery.start_soon(_ask, bench, rng.randint(1, 3), req, answers)
+    return [seen for _, seen in answers]
 
 
 def _no_room(*_: object) -> bool:
@@ -79,23 +79,23 @@
 
 
 async def play_losses(seed: int) -> list[tuple[str, Seen]]:
-    """Play the pattern; return what callers saw, by path."""
-    found: list[tuple[str, Seen]] = []
+    """Run the load with losses; return what callers saw, by path."""
+    answers: list[tuple[str, Seen]] = []
     runners = [engine(number, 'decode') for number in range(1, ENGINES + 1)]
     async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
         await trio.sleep(2)
         rng = Random(seed)
         async with trio.open_nursery() as nursery:
             for front in range(1, FRONTS + 1):
-                nursery.start_soon(_send, bench, front, rng, found)
+                nursery.start_soon(_send, bench, front, rng, answers)
             await trio.sleep(CALM_S)
             for runner in runners[:BAD]:
                 runner.faults.loses = LOSES
-    return found
+    return answers
 
 
 def unserved(found: list[tuple[str, Seen]], path: str) -> float:
-    """Return the share of the requests of ``path`` that got no whole answer."""
+    """Return the share of the requests of ``path`` that got no complete answer."""
     seen = [one for where, one in found if where == path]
     return sum(one.status != GOOD or not one.whole for one in seen) / len(seen)
 
@@ -105,60 +105,63 @@
 
     @virtual
     async def test_engines_that_lose_answers_are_avoided(self) -> None:
-        """All entries hear of each answer that was lost, and send elsewhere within tenths of a second.
+        """Guards against instances that keep sending to engines that lose answers.
 
-        Of the requests that may not run again a third or less of those are
-        lost that are when nobody is told.
+        Each lost answer is announced to all instances, which send elsewhere
+        within tenths of a second. Less than a third as many of the requests
+        that must not run again are lost as without loss meters.
         """
-        known = [seen for seed in (1, 2) for seen in await play_losses(seed)]
+        metered = [seen for seed in (1, 2) for seen in await play_losses(seed)]
         with patch.object(LossMeter, 'share', _nothing_seen):
-            unknown = [seen for seed in (1, 2) for seen in await play_losses(seed)]
-        self.assertGreater(unserved(unknown, '/verdict/a'), 0.05)
-        self.assertLess(unserved(known, '/verdict/a'), unserved(unknown, '/verdict/a') / 3)
+            unmetered = [seen for seed in (1, 2) for seen in await play_losses(seed)]
+        self.assertGreater(unserved(unmetered, '/verdict/a'), 0.05)
+        self.assertLess(unserved(metered, '/verdict/a'), unserved(unmetered, '/verdict/a') / 3)
 
     @virtual
     async def test_lost_answers_are_asked_for_again(self) -> None:
-        """What may go on elsewhere does, at another engine, which may lose the answer too.
+        """Guards against resumable requests that are not retried at another engine.
 
-        With nobody told which engines lose answers, half as many of those
-        requests stay without one as of those that may not go on.
+        That engine may lose the answer too. Without loss meters, half as many
+        of the resumable requests stay unanswered as of the others.
         """
         with patch.object(LossMeter, 'share', _nothing_seen):
-            found = await play_losses(3)
-        self.assertLess(unserved(found, '/tag/a'), 0.6 * unserved(found, '/verdict/a'))
+            answers = await play_losses(3)
+        self.assertLess(unserved(answers, '/tag/a'), 0.6 * unserved(answers, '/verdict/a'))
 
     @virtual
     async def test_lost_reads_are_done_again_apart(self) -> None:
-        """Half of the engines that read lose four answers in ten; other such engines read those prompts.
+        """Guards against late answers because failed remote prefills are not retried at prefill engines.
 
-        Run whole, at engines that decode at half the speed, they keep each
-        other waiting: 16 of 120 came late, and 2 read apart again.
+        Half of the prefill engines lose four answers in ten. Run whole at
+        decode engines, at half the speed, the prompts delay each other: 16 of
+        120 were late, and 2 when prefilled remotely again.
         """
-        again = await play_failed_reads(1) + await play_failed_reads(2)
+        retried = await play_failed_reads(1) + await play_failed_reads(2)
         with patch.object(WindowBudget, 'spend', _no_room):
             whole = await play_failed_reads(1) + await play_failed_reads(2)
-        late = [sum(seen.first_s > LONG_TARGET_S for seen in found) for found in (again, whole)]
-        self.assertTrue(all(seen.status == GOOD for seen in again))
+        late = [sum(seen.first_s > LONG_TARGET_S for seen in answers) for answers in (retried, whole)]
+        self.assertTrue(all(seen.status == GOOD for seen in retried))
         self.assertLess(late[0], late[1] / 2)
 
 
 class LossMeterTest(TestCase):
-    """What is expected of an engine by what was seen."""
+    """The expected loss share of an engine, from the answers seen."""
 
     def test_one_loss_is_little(self) -> None:
-        """One lost answer may be the fault of the entry that missed it."""
+        """One lost answer may be the fault of the instance that missed it."""
         meter = LossMeter()
         meter.note(0, lost=True)
         self.assertAlmostEqual(meter.share(0), 0.2)
 
     def test_many_losses(self) -> None:
+        """With many answers the expected share approaches the observed one."""
         meter = LossMeter()
         for number in range(20):
             meter.note(0, lost=number % 2 == 0)
         self.assertAlmostEqual(meter.share(0), 10 / 24)
 
     def test_fades(self) -> None:
-        """An engine that nobody sends to shows nothing new; it is tried again after some seconds."""
+        """Guards against an engine that is avoided forever: without new requests, its losses must decay."""
         meter = LossMeter()
         for _ in range(8):
             meter.note(0, lost=True)
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -1,4 +1,4 @@
-"""Runners, configurations and fronts that come and go."""
+"""Configuration changes, runner registrations that come and go, and planned stops of a front."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from sesamepoint_standins.platform.runner import RunnerStandIn
 
 APPLY_S = 2.0
-# Eighty tokens take some 4 s.
+# At this speed 80 tokens take some 4 s.
 SLOW_STREAM = EngineSpeed(step_s=0.05, stride=1)
 DRAIN_S = 2.0
 
@@ -30,19 +30,19 @@
 
 
 async def statuses(bed: PlatformBed, path: str, seconds: float) -> list[tuple[float, int]]:
-    """Ask all fronts again and again; returns times and statuses."""
-    found = []
+    """Send requests to all fronts repeatedly; return pairs of seconds since the start and status."""
+    answers = []
     started = trio.current_time()
     while trio.current_time() - started < seconds:
         for front in tuple(bed.fronts):
             seen = await bed.caller(front).ask(asked(path))
-            found.append((trio.current_time() - started, seen.status))
+            answers.append((trio.current_time() - started, seen.status))
         await trio.sleep(0.1)
-    return found
+    return answers
 
 
 def replace_reader(bed: PlatformBed) -> RunnerStandIn:
-    """Have another incarnation listen where the first engine has registered; its record stays."""
+    """Have another incarnation listen at the address of the first engine, whose record stays."""
     new = engine(1, 'prefill')
     new.key = 'i-new'
     bed.network.listen(bed.runners['i-llm1'].address, new.serve)
@@ -50,28 +50,29 @@
 
 
 class ConfigurationTest(TestCase):
-    """Versions come into force everywhere, in time, for good."""
+    """Configuration versions are applied at all instances in time and never reverted."""
 
     @virtual
     async def test_version_in_force(self) -> None:
+        """Guards against a version that some instance does not apply in time."""
         async with running_bed(configuration(1), fleet(), fronts=3) as bench:
             bench.publish(with_route(2))
-            found = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
+            answers = await statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_slow_store(self) -> None:
-        """The store takes a quarter of a second for each answer."""
+        """A version is applied in time although the store takes 0.25 s for each answer."""
         async with running_bed(configuration(1), fleet()) as bench:
             bench.store.slow_s = 0.25
             await trio.sleep(1)
             bench.publish(with_route(2))
-            found = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
+            answers = await statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_history_gone(self) -> None:
-        """The store forgets its history while a version comes; the newest is read anew."""
+        """Guards against a missed version when the store drops its history; the newest one is listed again."""
         async with running_bed(configuration(1), fleet()) as bench:
             bench.store.down = True
             await trio.sleep(3)
@@ -79,22 +80,22 @@
             bench.store.compact(OPERATOR_TOPIC)
             bench.store.compact(RUNNER_TOPIC)
             bench.store.down = False
-            found = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in found if at > APPLY_S}, {200})
+            answers = await statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
 
     @virtual
     async def test_version_never_back(self) -> None:
-        """An older version that arrives late does not undo a newer one."""
+        """Guards against an older version that arrives late and replaces a newer one."""
         async with running_bed(configuration(1), fleet()) as bench:
             bench.publish(with_route(5))
             await trio.sleep(APPLY_S)
             bench.publish(configuration(3))
-            found = await statuses(bench, '/new/a', 3)
-            self.assertEqual({status for _, status in found}, {200})
+            answers = await statuses(bench, '/new/a', 3)
+            self.assertEqual({status for _, status in answers}, {200})
 
     @virtual
     async def test_version_unreadable(self) -> None:
-        """A version that does not decode leaves the one before in force."""
+        """A version that does not decode leaves the previous one in force."""
         async with running_bed(configuration(1), fleet()) as bench:
             bench.publish({'version': 2, 'routes': 'none'})
             await trio.sleep(APPLY_S)
@@ -102,33 +103,34 @@
 
     @virtual
     async def test_store_down(self) -> None:
-        """Serving goes on by what was known while the store is away."""
+        """Serving goes on with the last known state while the store is unavailable."""
         async with running_bed(configuration(1), fleet()) as bench:
             bench.store.down = True
-            found = await statuses(bench, '/thumb/a', 8)
-            self.assertEqual({status for _, status in found}, {200})
+            answers = await statuses(bench, '/thumb/a', 8)
+            self.assertEqual({status for _, status in answers}, {200})
 
 
 class RunnerTest(TestCase):
-    """Runners that leave get nothing new after a while."""
+    """Runners that drain, restart or lose their registration."""
 
     @virtual
     async def test_drain(self) -> None:
+        """Guards against requests to a runner that are sent later than 2 s after it began to drain."""
         async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             left_at = trio.current_time()
             bench.drain_runner('i-web1')
-            found = await statuses(bench, '/card/a', 4)
-            self.assertEqual({status for _, status in found}, {200})
+            answers = await statuses(bench, '/card/a', 4)
+            self.assertEqual({status for _, status in answers}, {200})
             last = max((run.started for run in bench.runners['i-web1'].runs), default=left_at)
             self.assertLess(last - left_at, DRAIN_S)
 
     @virtual
     async def test_restarted_before_its_entry_lapses(self) -> None:
-        """An engine restarts; its old entry stays in the store for seconds.
+        """Guards against repeated requests to an old incarnation whose record is still in the store.
 
-        Every prompt sent to the old incarnation was turned away, 350 in ten
-        seconds, and each counted as an arrival beyond the first. One such
-        answer is enough.
+        An engine restarts, and its old record stays for seconds. All prompts
+        sent to the old incarnation were rejected, 350 in ten seconds, and each
+        counted as an extra arrival. One rejection is enough.
         """
         async with running_bed(configuration(), fleet()) as bench:
             new = replace_reader(bench)
@@ -139,18 +141,18 @@
 
     @virtual
     async def test_replaced_runner_is_told_to_all(self) -> None:
-        """Guards against a request of each instance to a runner of which one knows that it was replaced."""
+        """Guards against a request from each instance to a runner that one of them knows to be replaced."""
         async with running_bed(configuration(), fleet(), fronts=3) as bench:
             new = replace_reader(bench)
             for number in range(9):
                 req = asked_prompt('/verdict/a', tokens=9000)
                 self.assertEqual((await bench.caller(f'front-{number % 3 + 1}').ask(req)).body, req.expected)
-            found = new.misdirected
-        self.assertEqual(found, 1)
+            misdirected = new.misdirected
+        self.assertEqual(misdirected, 1)
 
     @virtual
     async def test_registration_gone(self) -> None:
-        """A runner's entry vanishes without a word; it gets nothing after two seconds."""
+        """A runner's record vanishes without a drain; the runner gets no request after two seconds."""
         async with running_bed(configuration(), [plain_runner(1)]) as bench:
             left_at = trio.current_time()
             bench.drop_registration('i-web1')
@@ -160,46 +162,49 @@
 
     @virtual
     async def test_registrations_lapse_for_a_moment(self) -> None:
-        """All entries lapse with the store and are back a second later; no caller notices."""
+        """Guards against refused requests when all records expire in the store and are back a second later."""
         async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             for key in tuple(bench.runners):
                 bench.drop_registration(key)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_register_again, bench, 0.8)
-                found = await statuses(bench, '/card/a', 4)
-            self.assertEqual({status for _, status in found}, {200})
+                answers = await statuses(bench, '/card/a', 4)
+            self.assertEqual({status for _, status in answers}, {200})
 
 
 class StopTest(TestCase):
-    """A planned stop cuts off no request."""
+    """Planned stops and starts of a front, without requests cut off."""
 
     @virtual
     async def test_stop_under_load(self) -> None:
-        """A front is told to stop while streams run and callers keep connections.
+        """Guards against requests that are cut off when a front stops under load.
 
-        It finishes what is under way, answers what still comes with the word
-        that it closes, and is done before the platform would end it by force.
+        Streams run and callers keep connections. The front finishes the
+        requests in progress, announces in its answers to later ones that it
+        closes the connection, and is done before the platform would kill it.
         """
         async with running_bed(configuration(), fleet()) as bench:
             front = bench.fronts['front-1']
-            found: list[Seen] = []
+            answers: list[Seen] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_ask_for, bench, 3.0, found)
+                nursery.start_soon(_ask_for, bench, 3.0, answers)
                 await trio.sleep(0.5)
                 stopped_at = trio.current_time()
                 await front.wind_down()
                 self.assertLess(trio.current_time() - stopped_at, front.cfg.stop_s)
                 self.assertFalse(front.ready())
-            self.assertEqual({(seen.status, seen.whole) for seen in found}, {(200, True)})
+            self.assertEqual({(seen.status, seen.whole) for seen in answers}, {(200, True)})
 
     @virtual
     async def test_stop_late_request_on_kept_connection(self) -> None:
-        """A stream that began before the signal keeps its connection open past the close of idle ones.
-
-        5 s after the signal its caller sends the next request there. One
-        that may take longer than this process has left is told at once that
-        it has not run, and to come back; taken, it was cut off 2.2 s later,
-        in the middle of its answer. One that is sure to end in time is served.
+        """Guards against a late request on a kept-alive connection that is cut off by the stop.
+
+        A stream that began before the signal keeps its connection open after
+        idle ones are closed, and 5 s after the signal its caller sends the
+        next request there. A request that may outlast the process is refused
+        immediately, as not run, with a retry-after time; accepted, it was cut
+        off 2.2 s later in the middle of its answer. One that is sure to end in
+        time is served.
         """
         runners = [engine(1, 'decode', speed=SLOW_STREAM)]
         async with running_bed(configuration(), [*runners, plain_runner(1)]) as bench:
@@ -210,20 +215,21 @@
                 await trio.sleep(0.5)
                 nursery.start_soon(bench.fronts['front-1'].wind_down)
                 await trio.sleep(5)
-                turned_away = await callers[0].ask(asked_prompt('/verdict/a', output=80, deadline_s=8.0))
+                refused = await callers[0].ask(asked_prompt('/verdict/a', output=80, deadline_s=8.0))
                 served = await callers[1].ask(asked('/thumb/a', deadline_s=1.0))
-            self.assertEqual((turned_away.status, turned_away.retry_after_s), (503, 0.02))
-            self.assertLess(turned_away.took_s, 0.1)
+            self.assertEqual((refused.status, refused.retry_after_s), (503, 0.02))
+            self.assertLess(refused.took_s, 0.1)
             self.assertEqual(len(runners[0].runs), 2)
             self.assertEqual((served.status, served.whole), (200, True))
 
     @virtual
     async def test_not_ready_before_configuration(self) -> None:
-        """A front that knows no configuration tells callers to come back when it may know one.
+        """A front without a configuration holds a request, then refuses it with a retry-after time.
 
-        Nobody can say when. It is kept for a third of its time, for an entry
-        that starts mostly has one within a tenth of a second, and told to
-        come back after a third of the rest: the longest that callers heed.
+        When the configuration comes is unknown. The request is held for a
+        third of its time, since most instances have a configuration within
+        0.1 s of their start. The retry-after time is a third of the rest, the
+        longest that callers respect.
         """
         async with trio.open_nursery() as nursery:
             bench = PlatformBed(nursery)
