--- a/packages/sesamepoint/src/sesamepoint/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime: the entry and agent processes and what they share."""
+"""The runtime: the front, entry and agent processes and their shared modules."""
--- a/packages/sesamepoint/src/sesamepoint/cli.py
+++ b/packages/sesamepoint/src/sesamepoint/cli.py
@@ -35,16 +35,16 @@
 
 
 class Process(Protocol):
-    """What the two kinds of process share."""
+    """Interface of the front, entry and agent processes."""
 
     async def run(self) -> None:
         """Run until cancelled."""
 
     async def wind_down(self) -> None:
-        """Finish what is under way."""
+        """Stop gracefully: finish requests in progress."""
 
     def reload(self) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -59,9 +59,9 @@
 
 
 def _build(arguments: dict[str, Any]) -> Process:
-    """Build the process; its modules are imported when it is known which.
+    """Build the process, importing only the modules of its kind.
 
-    A front process has no use for gRPC and for the checks of our own
+    A front process doesn't need gRPC and the validation of entry and agent
     settings, which take 35 MB of memory.
     """
     if arguments['front']:
--- a/packages/sesamepoint/src/sesamepoint/command_line.py
+++ b/packages/sesamepoint/src/sesamepoint/command_line.py
@@ -1,4 +1,4 @@
-"""What the command lines of the binaries share: usage and exit status."""
+"""Argument parsing and exit status of the command-line programs."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     argv: Sequence[str] | None,
     act: Callable[[dict[str, Any]], None],
 ) -> int:
-    """Parse arguments by ``usage``, act on them, and return the exit status.
+    """Parse arguments by ``usage``, pass them to ``act``, and return the exit status.
 
     Returns
     -------
     int
-        0 for success, 1 for a refusal by the system, 2 for bad usage, bad
-        settings, or a bad file.
+        0 for success, 1 for an error of sesamepoint or the operating system,
+        2 for wrong usage or invalid settings.
     """
     try:
         arguments = docopt(usage, argv, version=_version(program))
@@ -49,7 +49,7 @@
 
 
 def _version(program: str) -> str:
-    """Return the installed version, or a word where nothing is installed."""
+    """Return the installed version, or a placeholder if the package isn't installed."""
     try:
         return version(program)
     except PackageNotFoundError:
--- a/packages/sesamepoint/src/sesamepoint/events.py
+++ b/packages/sesamepoint/src/sesamepoint/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/EVENTS.md is their catalogue."""
+"""Numbered log events, listed in docs/EVENTS.md, and the output of log lines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     number
-        Stable for ever; operators search for it.
+        Never changes, since operators search for it.
     level
         A level of :mod:`logging`.
     text
@@ -126,7 +126,7 @@
 
 
 class _LineFormatter(JsonFormatter):
-    """One line a record, its end included, so that each is one write."""
+    """Formats a record with its line end, so that each line is a single write."""
 
     def format(self, record: logging.LogRecord) -> str:
         line = super().format(record)
@@ -134,12 +134,12 @@
 
 
 def log_event(event: Event, **fields: Any) -> None:
-    """Write one line for ``event`` with ``fields``."""
+    """Log one line for ``event`` with ``fields``."""
     _logger.log(event.level, event.text, extra={'event': event.number, **fields})
 
 
 def set_up_logs(process: str, level: int = logging.INFO) -> None:
-    """Send log lines as JSON to standard output, each naming ``process``."""
+    """Write log lines as JSON to standard output, each with the name ``process``."""
     handler = logging.StreamHandler(NonBlockingOutput(sys.stdout.fileno()))  # noqa: WPS110
     handler.terminator = ''
     handler.addFilter(RateLimit())
--- a/packages/sesamepoint/src/sesamepoint/http1/client.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/client.py
@@ -1,4 +1,4 @@
-"""The client's side of one HTTP/1.1 connection."""
+"""Client side of an HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     OnHead = Callable[[ResponseHead, float], None]
 
 RECEIVE_BYTES = 65536
-# Runners' heads are a few hundred bytes; a longer one is no sane answer.
+# Response heads of runners are a few hundred bytes; a longer one is rejected.
 MAX_HEAD_BYTES = 65536
 
 
 class ClientConn:
-    """Carries one request at a time; never shared between requests."""
+    """A client connection that carries one request at a time."""
 
     def __init__(self, transport: Transport, on_head: OnHead | None = None) -> None:
-        """Use ``transport``, which this object then owns.
+        """Take ownership of ``transport``.
 
-        ``on_head`` is called with the head of each response that is taken, and
-        the moment on trio's clock at which its request was begun.
+        ``on_head`` is called with the head of each accepted response, and the
+        time on trio's clock at which its request was started.
         """
         self.idle_since: float = 0
         self._on_head = on_head
         self._begun_at: float = 0
         self.keep_s: float | None = None
-        # Called before anything of a request goes out; raises if it may not.
+        # Called before any byte of a request is sent; raises if it may not be sent.
         self.admit: Callable[[], None] | None = None
         self._transport = transport
         self._state = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
@@ -43,10 +43,10 @@
         self._framed = True
 
     def begin(self, head: RequestHead, body: bytes) -> bytes:
-        """Take up a request; returns the bytes for :meth:`send`.
+        """Start a request and return its bytes for :meth:`send`.
 
-        ``head`` must carry the length of ``body``. Raises what ``admit`` raises; then the
-        connection is as it was.
+        ``head`` must contain the length of ``body``. If ``admit`` raises, its
+        error is passed on and the connection is unchanged.
         """
         if self.admit is not None:
             self.admit()
@@ -58,12 +58,12 @@
         return wire + body
 
     async def send(self, wire: bytes) -> None:
-        """Send what :meth:`begin` returned.
+        """Send the bytes that :meth:`begin` returned.
 
         Raises
         ------
         ConnBrokenError
-            If the connection broke on the way.
+            If the connection broke before all were sent.
         """
         try:
             await self._transport.send_all(wire)
@@ -72,10 +72,10 @@
         self._sent_whole = True
 
     async def send_quietly(self, wire: bytes) -> None:
-        """Send beside a task that reads the answer.
+        """Send while another task reads the response.
 
-        If the connection breaks, the reader notices; an answer that came
-        before is still good.
+        A broken connection is ignored here: the reading task notices it, and
+        a response that arrived before is still valid.
         """
         try:
             await self.send(wire)
@@ -83,11 +83,11 @@
             return
 
     async def head(self, accept: Callable[[ResponseHead], bool]) -> ResponseHead:
-        """Return the head of the first response that ``accept`` takes.
+        """Return the head of the first response that ``accept`` accepts.
 
-        A faulty server may send an answer twice, or late, and the next
-        request on the connection would take it for its own. What ``accept``
-        turns down is read to its end and dropped.
+        Other responses are read to their end and dropped: a faulty server may
+        send a response twice, or late, and it would be taken for that of the
+        next request on the connection.
 
         Raises
         ------
@@ -98,13 +98,13 @@
             event = await self._event()
             if not isinstance(event, h11.Response):
                 continue
-            found = ResponseHead(event.status_code, tuple(event.headers))
-            if accept(found):
-                self._framed = found.framed
-                self._note_keep_alive(found)
+            response = ResponseHead(event.status_code, tuple(event.headers))
+            if accept(response):
+                self._framed = response.framed
+                self._note_keep_alive(response)
                 if self._on_head is not None:
-                    self._on_head(found, self._begun_at)
-                return found
+                    self._on_head(response, self._begun_at)
+                return response
             await self._skip_answer()
 
     async def chunk(self) -> bytes:
@@ -123,7 +123,7 @@
                 return b''
 
     async def rest(self) -> bytes:
-        """Return the body from here to its end.
+        """Return the rest of the body.
 
         Raises
         ------
@@ -136,7 +136,9 @@
         return b''.join(parts)
 
     async def ask(self, head: RequestHead, body: bytes = b'') -> tuple[ResponseHead, bytes]:
-        """Send a request that any answer may answer, and return the whole answer.
+        """Send a request and return the head and the body of its response.
+
+        The response is not checked to belong to the request.
 
         Raises
         ------
@@ -147,7 +149,7 @@
         return await self.head(any_answer), await self.rest()
 
     def recycle(self) -> bool:
-        """Get ready for the next request; False if that cannot be."""
+        """Prepare for the next request; return False if the connection can't be reused."""
         if self._state.our_state is h11.IDLE:
             return True
         clean = self._sent_whole and self._framed and not self._state.trailing_data[0]
@@ -158,15 +160,15 @@
         return True
 
     def quiet(self) -> bool:
-        """Tell whether the idle connection is open and has no bytes waiting.
+        """Tell whether the idle connection is open and has no unread bytes.
 
-        Bytes that nobody asked for belong to no request: such a connection
-        must not be used again.
+        Unread bytes belong to no request, so that such a connection must not
+        be reused.
         """
         return self._transport.quiet()
 
     def close(self) -> None:
-        """Close at once; the far end sees it and stops its work."""
+        """Close at once; the server notices and cancels the request."""
         self._transport.close()
 
     def _note_keep_alive(self, found: ResponseHead) -> None:
@@ -176,16 +178,16 @@
 
     async def _skip_answer(self) -> None:
         await self.rest()
-        rest, _ = self._state.trailing_data
+        unparsed, _ = self._state.trailing_data
         self._state = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         if self._request is not None:
             self._state.send(self._request)
             self._finish_sending(b'')
-        if rest:
-            self._state.receive_data(rest)
+        if unparsed:
+            self._state.receive_data(unparsed)
 
     def _finish_sending(self, body: bytes) -> None:
-        """Tell the parser that the request is out; its bytes go apart."""
+        """Mark the request as sent in the parser; its body is sent outside the parser."""
         request = self._request
         if request is None:
             return
@@ -198,7 +200,7 @@
         while True:
             event = self._next_event()
             if isinstance(event, h11.ConnectionClosed):
-                raise ConnBrokenError('closed before an answer')
+                raise ConnBrokenError('closed before a response')
             if event is not h11.NEED_DATA:
                 return event
             self._feed(await self._receive())
@@ -223,7 +225,7 @@
 
 
 def any_answer(_: ResponseHead) -> bool:
-    """Accept whatever comes, where only one request is ever under way."""
+    """Accept any response, on a connection that never has more than one request."""
     return True
 
 
--- a/packages/sesamepoint/src/sesamepoint/http1/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/messages.py
@@ -1,4 +1,4 @@
-"""Heads of requests and responses, and what can go wrong on a connection."""
+"""Heads of HTTP requests and responses, and errors of connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestHead(NamedTuple):
-    """The first part of a request; header names are in lower case."""
+    """Request line and headers; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -18,48 +18,48 @@
 
 
 class ResponseHead(NamedTuple):
-    """The first part of a response; header names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: Headers
 
     @property
     def framed(self) -> bool:
-        """Tell whether its end is marked by a length or by chunks."""
+        """Tell whether a length or chunked encoding marks the end of the body."""
         return any(name in {b'content-length', b'transfer-encoding'} for name, _ in self.headers)
 
 
 class ConnectFailedError(SesamepointError):
-    """No connection came about, so nothing was sent.
+    """A connection could not be opened, so nothing was sent.
 
-    ``refused`` if the far end's host answered that nobody listens there.
+    ``refused`` is set if the host responded that no process listens at the address.
     """
 
     def __init__(self, address: str, cause: str, *, refused: bool = False) -> None:
-        """Name the far end."""
+        """Set the address that could not be reached."""
         self.refused = refused
         super().__init__(f'no connection to {address} ({cause})', 'another instance is tried')
 
 
 class ConnBrokenError(SesamepointError):
-    """A connection ended, or carried no HTTP, before an answer was whole."""
+    """A connection ended or carried invalid HTTP before a response was complete."""
 
     def __init__(self, cause: str) -> None:
-        """Tell what was seen."""
-        super().__init__(f'connection broken ({cause})', 'what may be repeated is sent again')
+        """Set what was observed."""
+        super().__init__(f'connection broken ({cause})', 'requests that may be repeated are sent again')
 
 
 class RejectedMessageError(SesamepointError):
-    """A peer's message breaks the protocol or a limit."""
+    """A request violates the protocol or exceeds a limit; the caller gets the message."""
 
     def __init__(self, status: int, cause: str) -> None:
-        """Keep the status to answer with."""
+        """Set the status of the response."""
         super().__init__(cause, 'mend the request')
         self.status = status
 
 
 def header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of ``name`` (in lower case)."""
+    """Return the first value of the header ``name`` (in lower case), or None."""
     for found, text in headers:
         if found == name:
             return text
--- a/packages/sesamepoint/src/sesamepoint/http1/server.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/server.py
@@ -1,4 +1,4 @@
-"""The server's side of one HTTP/1.1 connection."""
+"""Server side of an HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from sesamepoint.http1.transport import Transport
 
 RECEIVE_BYTES = 65536
-# Bytes of a next request that are kept while an answer is under way; beyond
-# them a caller that does not wait is no longer read.
+# Bytes of pipelined requests that are buffered while a response is being sent;
+# beyond them nothing more is read from the caller.
 MAX_HELD_BYTES = 65536
 BAD_REQUEST = 400
 REQUEST_TIMEOUT = 408
 BODY_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
-# Colon, space and line end of a header field.
+# Colon, space and line end (CR LF) of a header field.
 FIELD_EXTRA_BYTES = 4
 DEFAULT_HEAD_BYTES = 16384
 DEFAULT_BODY_BYTES = 4194304
@@ -32,7 +32,10 @@
 
 
 class ServerLimits(NamedTuple):
-    """How much a caller may send, and how long it may take."""
+    """Limits on the size of a request and on the time that it takes to arrive.
+
+    ``idle_s`` is the time for which a connection may wait for a request.
+    """
 
     head_bytes: int = DEFAULT_HEAD_BYTES
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -41,7 +44,10 @@
 
 
 class Message(NamedTuple):
-    """A whole request; ``arrived`` is on trio's clock, ``caller`` the far end's address."""
+    """A complete request.
+
+    ``arrived`` is a time on trio's clock, ``caller`` the address of the caller.
+    """
 
     head: RequestHead
     body: bytes
@@ -50,7 +56,7 @@
 
 
 class CallerGoneError(Exception):
-    """The far end closed the connection."""
+    """The caller closed the connection."""
 
 
 def _never() -> bool:
@@ -58,13 +64,13 @@
 
 
 class ServerConn:
-    """Reads requests and writes answers, one after the other."""
+    """A server connection: reads requests and writes responses one after the other."""
 
     def __init__(self, transport: Transport, limits: ServerLimits, ending: Callable[[], bool] = _never) -> None:
-        """Use ``transport``, which the caller of this closes.
+        """Use ``transport``, which the creator of this object closes.
 
-        ``ending`` is asked at each answer whether the far end is to be told
-        that the connection ends with it.
+        ``ending`` is called for each response; if it returns true, the response
+        announces that the connection closes after it.
         """
         self.closing = False
         self._ending = ending
@@ -75,16 +81,22 @@
 
     @property
     def reusable(self) -> bool:
-        """Tell whether another request can follow."""
+        """Tell whether the connection can carry another request."""
         state = self._state
         return not self.closing and state.our_state is h11.DONE and state.their_state is h11.DONE
 
     def next_cycle(self) -> None:
-        """Get ready for the next request."""
+        """Prepare for the next request."""
         self._state.start_next_cycle()
 
     async def first_byte(self) -> bool:
-        """Wait for a request to begin; False if none comes."""
+        """Wait for a request to start.
+
+        Returns
+        -------
+        bool
+            False if none starts in time, or the caller closes the connection.
+        """
         if self._held:
             self._feed(self._held)
             self._held = b''
@@ -98,14 +110,14 @@
         return False
 
     async def request(self) -> Message:
-        """Read a whole request.
+        """Read a complete request.
 
         Raises
         ------
         RejectedMessageError
-            With the status to answer, if it cannot be taken.
+            If the request is invalid, too large or too slow; with the status of the response.
         CallerGoneError
-            If the far end left before the request was whole.
+            If the caller closed the connection before the request was complete.
         """
         arrived = trio.current_time()
         with trio.move_on_after(self._limits.head_s):
@@ -114,7 +126,7 @@
         raise RejectedMessageError(REQUEST_TIMEOUT, 'the request took too long to arrive')
 
     async def watch(self) -> None:
-        """Return once the far end has closed; holds what else it sends."""
+        """Return once the caller has closed the connection; buffer what it sends until then."""
         while True:
             received = await self._receive()
             if not received:
@@ -124,19 +136,19 @@
                 await trio.sleep_forever()
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer; :meth:`part` and :meth:`end` follow."""
+        """Send the head of a response; :meth:`part` and :meth:`end` follow."""
         await self._send(self._head_bytes(status, headers))
 
     async def part(self, body: bytes) -> None:
-        """Send some of an answer's body."""
+        """Send a part of the response's body."""
         await self._send(self._state.send(h11.Data(data=body)) or b'')
 
     async def end(self) -> None:
-        """End an answer that :meth:`begin` began."""
+        """End a response that :meth:`begin` started."""
         await self._send(self._state.send(h11.EndOfMessage()) or b'')
 
     async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response at once."""
         framed = (*headers, (b'content-length', str(len(body)).encode()))
         wire = self._head_bytes(status, framed)
         if body:
@@ -145,14 +157,14 @@
         await self._send(wire)
 
     def check_caller(self) -> None:
-        """Look whether the far end is still there, without waiting.
+        """Check without waiting whether the caller is still connected.
 
         Raises
         ------
         CallerGoneError
-            If its close has arrived. :meth:`watch` tells so too, but only
-            when its task gets its turn, which a busy process may give it
-            half a second late.
+            If the caller has closed the connection. :meth:`watch` notices that
+            too, but only once its task is scheduled, which may take half a
+            second in a busy process.
         """
         if self._transport.ended():
             raise CallerGoneError
@@ -223,10 +235,10 @@
 
 
 def _check_framing(head: RequestHead) -> None:
-    """Refuse a request whose end could be read in two ways.
+    """Reject a request with more than one framing header.
 
-    With two framings, a runner behind might take part of the body for a
-    request of its own: a smuggled request that no caller sent.
+    This guards against request smuggling: with two framings, a runner might
+    take a part of the body for a separate request.
     """
     names = [name for name, _ in head.headers if name in {b'content-length', b'transfer-encoding'}]
     if len(names) > 1:
@@ -234,9 +246,9 @@
 
 
 def _check_size(head: RequestHead, limit: int) -> None:
-    """Hold a head that came in one piece to the limit, too.
+    """Reject a head above the limit that arrived in one piece.
 
-    The parser looks at the size only while a head is incomplete.
+    The parser checks the size only while a head is incomplete.
     """
     fields = sum(len(name) + len(text) + FIELD_EXTRA_BYTES for name, text in head.headers)
     if len(head.method) + len(head.target) + fields > limit:
--- a/packages/sesamepoint/src/sesamepoint/http1/sockets.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options that make a silent peer noticeable."""
+"""Socket options that detect a dead far end."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 if TYPE_CHECKING:
     import trio
 
-# Data that a peer has not acknowledged for this long breaks the connection.
-# Longer than two retransmissions (0.2 s and 0.4 s), far below any deadline.
+# The connection breaks if sent data is not acknowledged for this long: longer
+# than two retransmissions (0.2 s and 0.4 s), far below any deadline.
 UNACKED_MS = 1500
-# An idle connection is probed after 1 s, each second, and given up after 3.
+# An idle connection is probed after 1 s, then each second; it breaks after 3
+# probes without a response.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
 
 
 def tune(sock: trio.socket.SocketType) -> None:
-    """Break connections whose far end has gone without a reset.
+    """Set the options that break a connection whose far end is dead.
 
-    A cut or powered-off peer sends nothing; without these a request on such
-    a connection would hang until its deadline.
+    A far end that is cut off or powered off sends no reset; without these
+    options a request on such a connection would hang until its deadline.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
--- a/packages/sesamepoint/src/sesamepoint/http1/transport.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/transport.py
@@ -1,4 +1,4 @@
-"""Connections as the HTTP code sees them, over sockets or stand-ins."""
+"""Byte streams under HTTP connections: the interface, and sockets."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class Transport(Protocol):
-    """One connection; errors are those of trio's streams.
+    """A connection that carries bytes; it raises the errors of trio's streams.
 
     Parameters
     ----------
     peer
-        The address of the far end; empty if it is not known.
+        The address of the far end; empty if unknown.
     """
 
     peer: str
@@ -32,30 +32,30 @@
         """Send all bytes."""
 
     async def receive_some(self, max_bytes: int) -> bytes:
-        """Return some bytes; empty at the end."""
+        """Return up to ``max_bytes`` bytes; empty at the end."""
 
     def close(self) -> None:
         """Close at once."""
 
     def quiet(self) -> bool:
-        """Tell whether the connection is open and has no bytes waiting."""
+        """Tell whether the connection is open and has no unread bytes."""
 
     def ended(self) -> bool:
-        """Tell whether the far end has closed and left nothing to read."""
+        """Tell whether the far end has closed and all its bytes are read."""
 
 
 class Network(Protocol):
-    """A way to open connections."""
+    """Opens connections."""
 
     async def connect(self, address: Address, timeout_s: float) -> Transport:
-        """Connect, or raise a ``ConnectFailedError``."""
+        """Open a connection within ``timeout_s``, or raise ``ConnectFailedError``."""
 
 
 class SocketTransport:
-    """A connection over a socket."""
+    """A transport over a TCP socket."""
 
     def __init__(self, stream: trio.SocketStream, pacer: LinkPacer | None = None) -> None:
-        """Use ``stream``, which this object then owns; ``pacer`` spreads what is large."""
+        """Take ownership of ``stream``; ``pacer``, if given, paces its sends."""
         self._stream = stream
         self._pacer = pacer
         self.peer = _peer(stream)
@@ -70,7 +70,7 @@
             await self._stream.send_all(piece)
 
     async def receive_some(self, max_bytes: int) -> bytes:
-        """Return some bytes; empty at the end."""
+        """Return up to ``max_bytes`` bytes; empty at the end."""
         return bytes(await self._stream.receive_some(max_bytes))
 
     def close(self) -> None:
@@ -78,23 +78,23 @@
         self._stream.socket.close()
 
     def quiet(self) -> bool:
-        """Tell whether the connection is open and has no bytes waiting."""
+        """Tell whether the connection is open and has no unread bytes."""
         return _peek(self._stream) is None
 
     def ended(self) -> bool:
-        """Tell whether the far end has closed and left nothing to read."""
+        """Tell whether the far end has closed and all its bytes are read."""
         return _peek(self._stream) == b''
 
 
 class SocketNetwork:
-    """Opens connections over sockets."""
+    """Opens connections over TCP sockets."""
 
     def __init__(self, pacer: LinkPacer | None = None) -> None:
-        """Let ``pacer``, if there is one, spread what is sent over the link."""
+        """Let ``pacer``, if given, pace the sends of all connections."""
         self._pacer = pacer
 
     async def connect(self, address: Address, timeout_s: float) -> Transport:
-        """Connect, or raise a ``ConnectFailedError``."""
+        """Open a connection within ``timeout_s``, or raise ``ConnectFailedError``."""
         sock = trio.socket.socket()
         try:
             with trio.fail_after(timeout_s):
@@ -114,12 +114,15 @@
     try:
         return str(stream.socket.getpeername()[0])
     except OSError:
-        # The far end has gone already; whatever is done next shows that.
+        # The far end has disconnected; the next operation on the socket raises.
         return ''
 
 
 def _peek(stream: trio.SocketStream) -> bytes | None:
-    """Return what waits to be read; empty at the end, None if there is nothing yet."""
+    """Return a byte that can be read, without consuming it.
+
+    Empty if the far end has closed, None if there is nothing to read yet.
+    """
     descriptor = stream.socket.fileno()
     if descriptor < 0:
         return b''
--- a/packages/sesamepoint/src/sesamepoint/incarnation.py
+++ b/packages/sesamepoint/src/sesamepoint/incarnation.py
@@ -1,4 +1,4 @@
-"""Identities that nothing else has."""
+"""Generation of unique ids."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def new_id(rng: Random, bits: int = ID_BITS) -> str:
-    """Return a random identity in hexadecimal."""
+    """Return a random id in hexadecimal."""
     return f'{rng.getrandbits(bits):x}'
 
 
 def new_incarnation(name: str, rng: Random) -> str:
-    """Return an identity that no other start of ``name`` has."""
+    """Return an id that differs for each start of ``name``."""
     return f'{name}-{new_id(rng, SUFFIX_BITS)}'
 
 
--- a/packages/sesamepoint/src/sesamepoint/log_output.py
+++ b/packages/sesamepoint/src/sesamepoint/log_output.py
@@ -1,4 +1,4 @@
-"""Writing log lines without ever waiting, and no more than is bearable."""
+"""Non-blocking, rate-limited output of log lines."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 import select
 import time
 
-# Lines below a warning that are written a second in the long run, and in a
-# burst. An entry with 100 requests a second writes some 130; a line costs
-# about 0.1 ms of processor, so that the bound is 3% of a core.
+# Rate and burst of lines below level WARNING. An instance with 100 requests per
+# second writes about 130 lines per second; a line costs about 0.1 ms of CPU
+# time, so that 300 lines per second take 3% of a core.
 LINES_A_SECOND = 300.0
 BURST_LINES = 600.0
-# A pipe that polls as writable takes this much without blocking (PIPE_BUF).
+# A pipe that polls as writable accepts this much without blocking (PIPE_BUF).
 MAX_LINE_BYTES = 4096
 
 
 class NonBlockingOutput:
-    """Writes to a descriptor only what it takes at once.
+    """Writes lines to a file descriptor, and drops those that would block.
 
-    If whoever reads the logs hangs, a blocking write would stop the whole
-    process, and with it all requests. Lines are dropped instead, and counted.
+    If the reader of the logs hung, a blocking write would stop the whole
+    process and all its requests. Dropped lines are counted in ``dropped``.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Write to ``descriptor``; it is not changed."""
+        """Write to ``descriptor``, whose flags are not changed."""
         self.dropped = 0
         self._descriptor = descriptor
         self._poll = select.poll()
@@ -39,25 +39,28 @@
         try:
             os.write(self._descriptor, line)
         except OSError:
-            # Nobody reads; there is no place left to say so.
+            # The reader has closed the pipe, so that this can't be logged.
             self.dropped += 1
 
     def flush(self) -> None:
-        """Do nothing: nothing is kept back."""
+        """Do nothing, since nothing is buffered."""
 
 
 class RateLimit(logging.Filter):
-    """Lets a bounded number of lines pass; warnings and errors always."""
+    """Limits the rate of log lines; warnings and errors always pass."""
 
     def __init__(self) -> None:
-        """Start with a burst to spend."""
+        """Start with the full burst."""
         super().__init__()
         self.suppressed = 0
         self._credit = BURST_LINES
         self._at = time.monotonic()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether ``record`` is written; what is not is counted on the next."""
+        """Tell whether ``record`` is written.
+
+        The next line that passes gets the number of suppressed ones as a field.
+        """
         now = time.monotonic()
         self._credit = min(self._credit + (now - self._at) * LINES_A_SECOND, BURST_LINES)
         self._at = now
--- a/packages/sesamepoint/src/sesamepoint/platform/configuration.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/configuration.py
@@ -21,7 +21,7 @@
 from sesamepoint.platform.unreadable import UnreadableRecordError
 
 _Time = Annotated[float, msgspec.Meta(gt=0)]
-# A name that goes into a header as it is.
+# Sent in a header without encoding: visible ASCII, spaces only inside.
 _AccountName = Annotated[str, msgspec.Meta(pattern='^[!-~]([ -~]*[!-~])?$')]
 
 
@@ -36,7 +36,7 @@
     path_prefix: Text
     kind: Text
     timeout_ms: _Time
-    # A route names either one service or shares of several.
+    # A route names one service here, or several with weights in ``backends``.
     service: str = ''
     backends: list[_Share] = msgspec.field(default_factory=list)
     target_latency_ms: _Time | None = None
@@ -50,7 +50,7 @@
 class _Engine(msgspec.Struct):
     slots: Positive
     kv_tokens: Positive
-    # Bytes of one token, not of the whole memory.
+    # Size of the KV cache of one token, not of the whole cache.
     kv_bytes: _Time
     link_mbps: _Time
 
@@ -79,32 +79,32 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits
-    # Without the list, requests need no key.
+    # If the list is missing, requests need no API key.
     tenants: list[_Tenant] | None = None
 
 
 def decode_configuration(text: bytes) -> Configuration:
-    """Return the operator's configuration.
+    """Decode the operator's configuration.
 
     Raises
     ------
     UnreadableRecordError
-        If ``text`` is no such document, or a field is missing, of another
-        type or out of its range.
+        If ``text`` is not a valid configuration document: malformed JSON, or
+        a field that is missing, has the wrong type or is out of range.
     """
     try:
         return _configuration(msgspec.json.decode(text, type=_Document))
     except ValueError as exc:
-        # Errors of msgspec are among these.
-        raise UnreadableRecordError(f'configuration: {exc}', 'the version before stays in force') from exc
+        # msgspec's errors are subclasses of ValueError.
+        raise UnreadableRecordError(f'configuration: {exc}', 'the previous version stays in force') from exc
 
 
 def _configuration(found: _Document) -> Configuration:
     limits = found.limits
     return Configuration.from_parts(
         found.version,
-        [_route(one) for one in found.routes],
-        [Service(one.name, one.max_conns, _engine(one.engine)) for one in found.services],
+        [_route(record) for record in found.routes],
+        [Service(record.name, record.max_conns, _engine(record.engine)) for record in found.services],
         CallerLimits(
             head_bytes=limits.max_header_bytes,
             body_bytes=limits.max_body_bytes,
@@ -134,14 +134,14 @@
 
 
 def _accounts(found: list[_Tenant]) -> Accounts:
-    return Accounts.from_keys(Holder(Account(one.name, one.priority), one.api_keys) for one in found)
+    return Accounts.from_keys(Holder(Account(tenant.name, tenant.priority), tenant.api_keys) for tenant in found)
 
 
 def _shares(found: _Route) -> tuple[Share, ...]:
     if found.backends:
-        return tuple(Share(one.service, one.weight) for one in found.backends)
+        return tuple(Share(backend.service, backend.weight) for backend in found.backends)
     if not found.service:
-        raise ValueError(f'route {found.name} names no service')
+        raise ValueError(f'route {found.name} has neither a service nor backends')
     return (Share(found.service, 1),)
 
 
@@ -150,8 +150,8 @@
         return Repeat.freely
     if found.kind == 'streaming' and found.resumable:
         return Repeat.resume
-    # Also of kinds that this version does not know: running twice is worse
-    # than not trying again.
+    # Also for kinds unknown to this version: running a request twice is worse
+    # than not retrying it.
     return Repeat.never
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/duty_calls.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that are one instance's duty at a time."""
+"""Usage reports to the platform, sent by one instance at a time."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 def encode_usage(window: int, counts: Mapping[str, int]) -> bytes:
-    """Return the report on a window: the same bytes for the same counts."""
+    """Encode the report on a window; equal counts give equal bytes."""
     return msgspec.json.encode(_Usage(window, dict(sorted(counts.items()))))
 
 
 async def report_usage(conn: ClientConn, address: Address, holder: str, fence: int, body: bytes) -> int:
-    """Send a report and return the status of the answer.
+    """Send a report and return the status of the response.
 
     Raises
     ------
     ConnBrokenError
-        If none came; the report may have been taken.
+        If there was no response; the report may have been accepted nevertheless.
     """
     headers = (
         (b'host', str(address).encode()),
--- a/packages/sesamepoint/src/sesamepoint/platform/engine_calls.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to an engine besides requests: what it keeps, and giving memory back."""
+"""Calls that list the prefix blocks in an engine's cache and free its memory."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _Kept(msgspec.Struct, array_like=True):
-    # A field that holds an empty text on deployments of today.
+    # Empty on current deployments.
     group: str
     key: str
     tokens: int
@@ -27,14 +27,14 @@
 
 
 class _KeptReply(msgspec.Struct):
-    # Not what is held for a caller: each prompt part in the cache.
+    # All prefix blocks in the cache, not those held for a caller.
     held: list[_Kept]
-    # When this start of the engine began; not all deployments tell it.
+    # Start time of the engine's incarnation; not all deployments send it.
     born: StartMs = 0
 
 
 class Kept(NamedTuple):
-    """The prompt parts that an engine keeps, and the start that keeps them.
+    """The prefix blocks in an engine's cache, and the start time of the engine.
 
     ``born_ms`` is as in :class:`~sesamepoint_core.serving.runner.Runner`.
     """
@@ -44,30 +44,30 @@
 
 
 async def list_kept(conn: ClientConn, address: Address) -> Kept:
-    """Return the prompt parts that the engine at ``address`` keeps.
+    """Return the prefix blocks in the cache of the engine at ``address``.
 
     Raises
     ------
     ConnBrokenError
-        If no answer came that makes sense.
+        If there was no response, or one with another status or a malformed body.
     """
     head, body = await conn.ask(RequestHead(b'GET', KV_LIST_PATH.encode(), _headers(address)))
     if head.status != STATUS_OK:
         raise ConnBrokenError(f'status {head.status}')
     try:
-        found = msgspec.json.decode(body, type=_KeptReply)
+        reply = msgspec.json.decode(body, type=_KeptReply)
     except msgspec.DecodeError as exc:
         raise ConnBrokenError(str(exc)) from exc
-    return Kept(tuple(Part(kept.key, kept.tokens) for kept in found.held), found.born)
+    return Kept(tuple(Part(block.key, block.tokens) for block in reply.held), reply.born)
 
 
 async def free_handle(conn: ClientConn, address: Address, kv_handle: str) -> None:
-    """Have the engine at ``address`` free the memory of a prompt that it read.
+    """Make the engine at ``address`` free the KV cache of a prompt that it prefilled.
 
     Raises
     ------
     ConnBrokenError
-        If the connection ended first.
+        If the connection ended before the response.
     """
     target = f'{KV_HANDLE_PATH}{kv_handle}'.encode()
     await conn.ask(RequestHead(b'DELETE', target, (*_headers(address), (b'content-length', b'0'))))
--- a/packages/sesamepoint/src/sesamepoint/platform/fields.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/fields.py
@@ -1,4 +1,4 @@
-"""Types of fields that several documents of the platform have."""
+"""Constrained field types that several of the platform's documents share."""
 
 from __future__ import annotations
 
--- a/packages/sesamepoint/src/sesamepoint/platform/headers.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/headers.py
@@ -1,4 +1,4 @@
-"""Decoding of callers' headers, encoding of those that runners get."""
+"""Decoding of callers' request headers, and encoding of headers for runners."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class Sending(NamedTuple):
-    """What one attempt adds to a request's own headers.
+    """Headers that one attempt adds to those of the request.
 
     Parameters
     ----------
     incarnation
-        The only runner that may take it.
+        The only incarnation of a runner that may run the request.
     left_s
-        Time left for the runner.
+        Time left for the runner, in seconds.
     prefill_only
-        Whether the runner only reads the prompt.
+        Whether the runner only prefills the prompt.
     kv_source
-        Where the prompt's memory lies, as address and handle.
+        Where the KV cache of the prefilled prompt is, as address and handle.
     fetch_from
-        Address of a runner that holds parts of the prompt.
+        Address of a runner that has prefix blocks of the prompt in its cache.
     resume_after
-        Event after which a stream goes on.
+        Id of the event after which a stream is resumed.
     """
 
     incarnation: str
@@ -49,12 +49,12 @@
 
 
 def decode_request(message: Message) -> FrontRequest:
-    """Return a caller's request.
+    """Decode a caller's request.
 
     Raises
     ------
     RejectedMessageError
-        If it lacks what routing needs.
+        If the host or the request id is missing, or a header is malformed.
     """
     headers = message.head.headers
     host = header(headers, b'host')
@@ -76,7 +76,7 @@
 
 
 def attributed(req: FrontRequest, account: Account | None) -> FrontRequest:
-    """Return ``req`` as runners get it: with the name of its account, without the key."""
+    """Return ``req`` with its account's name instead of the API key, as runners receive it."""
     own = tuple(pair for pair in req.head.headers if pair[0] not in {names.AUTHORIZATION, names.ACCOUNT})
     if account is not None:
         own = (*own, (names.ACCOUNT, account.name.encode()))
@@ -84,7 +84,7 @@
 
 
 def encode_request(req: FrontRequest, sending: Sending) -> RequestHead:
-    """Return the head that a runner gets."""
+    """Return the request head that is sent to a runner."""
     added = [
         (names.EXPECT_INCARNATION, sending.incarnation.encode()),
         (names.DEADLINE_MS, str(max(int(sending.left_s * MS_PER_S), 1)).encode()),
@@ -108,37 +108,37 @@
 def answers(req: FrontRequest, found: ResponseHead) -> bool:
     """Tell whether a runner's response belongs to ``req``.
 
-    Refusals of the connection itself may come without an id.
+    A refusal of the whole connection may lack a request id.
     """
     echoed = header(found.headers, names.REQUEST_ID)
     return echoed is None or echoed.decode('latin-1') == req.request_id
 
 
 def signed(found: ResponseHead) -> bool:
-    """Tell whether a runner vouches for a response's body as sent."""
+    """Tell whether a response is signed by a runner and its body is not re-encoded."""
     if header(found.headers, names.CONTENT_ENCODING) is not None:
         return False
     return header(found.headers, names.SIGNATURE) is not None
 
 
 def says_not_run(found: ResponseHead) -> bool:
-    """Tell whether a runner states that it did not run the request."""
+    """Tell whether a runner reports that it did not run the request."""
     return found.status == MISDIRECTED or header(found.headers, names.NOT_RUN) is not None
 
 
 def replaced(found: ResponseHead, incarnation: str) -> bool:
-    """Tell whether another incarnation than the one expected has answered."""
+    """Tell whether another incarnation than the expected one has responded."""
     return answered_by(found, incarnation) != incarnation
 
 
 def answered_by(found: ResponseHead, incarnation: str) -> str:
-    """Return the incarnation that has answered where ``incarnation`` was expected."""
+    """Return the incarnation that has responded where ``incarnation`` was expected."""
     named = header(found.headers, names.INCARNATION) if found.status == MISDIRECTED else None
     return incarnation if named is None else named.decode('latin-1')
 
 
 def returned(found: ResponseHead) -> Headers:
-    """Return a runner's headers as the caller gets them."""
+    """Return a runner's headers without the hop-by-hop ones, for the caller."""
     return tuple(pair for pair in found.headers if pair[0] not in names.ONE_HOP)
 
 
@@ -149,13 +149,13 @@
 
 
 def _shown_key(headers: Headers) -> ShownKey:
-    shown = [text for name, text in headers if name == names.AUTHORIZATION]
-    if not shown:
+    presented = [text for name, text in headers if name == names.AUTHORIZATION]
+    if not presented:
         return ShownKey(fault=KeyFault.missing)
-    if len(shown) > 1:
+    if len(presented) > 1:
         return ShownKey(fault=KeyFault.repeated)
-    scheme, _, key = shown[0].strip().partition(b' ')
-    # A key that has a space in it is none, or two.
+    scheme, _, key = presented[0].strip().partition(b' ')
+    # A space means that the header holds no key, or two.
     if scheme.lower() != names.KEY_SCHEME or not key or b' ' in key:
         return ShownKey(fault=KeyFault.malformed)
     return ShownKey(digest_of(key), KeyFault.none)
@@ -189,7 +189,7 @@
     entries = [entry.strip().partition(b':') for entry in listed.split(b',') if entry.strip()]
     parts = tuple(Part(key.decode('latin-1'), int(size)) for key, _, size in entries)
     if any(part.tokens < 0 for part in parts):
-        raise ValueError('a part of negative size')
+        raise ValueError('negative token count of a prefix block')
     return Prompt(model, parts, tokens, max_output)
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/http.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http.py
@@ -1,4 +1,4 @@
-"""One small HTTP caller for the platform's services."""
+"""HTTP client for the platform's services."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class HttpCaller:
-    """Calls one service; any failure is a ``PlatformUnavailableError``."""
+    """A client of one service; each failure raises ``PlatformUnavailableError``."""
 
     def __init__(self, service: str, url: str) -> None:
-        """Aim at ``url``."""
+        """Send all requests to ``url``."""
         self._service = service
         self._url = url
         self._pool = httpcore.AsyncConnectionPool(max_connections=MAX_CONNECTIONS)
 
     @classmethod
     def from_config(cls, service: str, cfg: ServiceSettings) -> HttpCaller:
-        """Build from one service's settings."""
+        """Build a client from the settings of one service."""
         return cls(service, cfg['url'])
 
     async def call(self, method: str, path: str, body: bytes, timeout_s: float) -> bytes:
@@ -36,11 +36,11 @@
         Raises
         ------
         PlatformUnavailableError
-            If there was no reply within ``timeout_s``, or not a good one.
+            If there was no reply within ``timeout_s``, or its status was not 200.
         """
-        limits = {'timeout': dict.fromkeys(('connect', 'read', 'write', 'pool'), timeout_s)}
+        timeouts = {'timeout': dict.fromkeys(('connect', 'read', 'write', 'pool'), timeout_s)}
         try:
-            reply = await self._pool.request(method, f'{self._url}{path}', content=body, extensions=limits)
+            reply = await self._pool.request(method, f'{self._url}{path}', content=body, extensions=timeouts)
         except _BROKEN as exc:
             raise PlatformUnavailableError(self._service, repr(exc)) from exc
         if reply.status != STATUS_OK:
--- a/packages/sesamepoint/src/sesamepoint/platform/http_log.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http_log.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP."""
+"""HTTP clients of the platform's log and instance list."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ReadReply(NamedTuple):
-    """Reply to a read; payloads are text."""
+    """Reply to a read; each record is an offset and a payload as text."""
 
     earliest: int
     end: int
@@ -32,46 +32,46 @@
 
 @LOG_ADAPTERS.register('http')
 class HttpLog:
-    """Appends by POST, reads by a GET that waits."""
+    """The log over HTTP: POST appends, a long-polling GET reads."""
 
     def __init__(self, caller: HttpCaller) -> None:
-        """Use ``caller`` for all calls."""
+        """Send all requests through ``caller``."""
         self._caller = caller
 
     @classmethod
     def from_config(cls, cfg: ServiceSettings) -> HttpLog:
-        """Build from the settings of the log."""
+        """Build a client from the settings of the log."""
         return cls(HttpCaller.from_config('log', cfg))
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Append and return the offset."""
+        """Append a record and return its offset."""
         reply = await self._caller.call('POST', f'/streams/{stream}', payload, CALL_TIMEOUT_S)
         return msgspec.json.decode(reply, type=AppendReply).offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return records from ``start`` on."""
+        """Return the records from offset ``start`` on."""
         path = f'/streams/{stream}?from={start}&wait_ms={int(wait_s * MS_PER_S)}'
         reply = await self._caller.call('GET', path, b'', wait_s + CALL_TIMEOUT_S)
-        found = msgspec.json.decode(reply, type=ReadReply)
-        records = tuple(LogRecord(offset, text.encode()) for offset, text in found.records)
-        return LogPage(records, found.earliest, found.end)
+        page = msgspec.json.decode(reply, type=ReadReply)
+        records = tuple(LogRecord(offset, text.encode()) for offset, text in page.records)
+        return LogPage(records, page.earliest, page.end)
 
 
 @LIST_ADAPTERS.register('http')
 class HttpInstanceList:
-    """The lagging list by GET."""
+    """The list of instances over HTTP; it lags behind."""
 
     def __init__(self, caller: HttpCaller) -> None:
-        """Use ``caller`` for all calls."""
+        """Send all requests through ``caller``."""
         self._caller = caller
 
     @classmethod
     def from_config(cls, cfg: ServiceSettings) -> HttpInstanceList:
-        """Build from the settings of the list."""
+        """Build a client from the settings of the list."""
         return cls(HttpCaller.from_config('instance list', cfg))
 
     async def fetch(self) -> tuple[Instance, ...]:
-        """Return the list as it was some time ago."""
+        """Return the list, which may be out of date."""
         reply = await self._caller.call('GET', '/instances', b'', CALL_TIMEOUT_S)
         return msgspec.json.decode(reply, type=tuple[Instance, ...])
 
--- a/packages/sesamepoint/src/sesamepoint/platform/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/messages.py
@@ -1,4 +1,4 @@
-"""What the platform's services are asked and what they answer."""
+"""Interfaces and records of the platform's log and instance list."""
 
 from __future__ import annotations
 
@@ -8,14 +8,18 @@
 
 
 class LogRecord(NamedTuple):
-    """A record and its place on its stream."""
+    """A record and its offset in its stream."""
 
     offset: int
     payload: bytes
 
 
 class LogPage(NamedTuple):
-    """Part of a stream: ``earliest`` is the first offset still kept."""
+    """Consecutive records of a stream.
+
+    ``earliest`` is the first offset that the log still keeps, ``end`` the
+    offset after the last record.
+    """
 
     records: tuple[LogRecord, ...]
     earliest: int
@@ -23,30 +27,33 @@
 
 
 class Instance(NamedTuple):
-    """One row of the platform's lagging list."""
+    """One row of the platform's list of instances."""
 
     address: str
     leaving: bool
 
 
 class LogService(Protocol):
-    """The append-only log; calls raise ``PlatformUnavailableError``."""
+    """The append-only log; failed calls raise ``PlatformUnavailableError``."""
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Append and return the offset. A lost reply may hide a success."""
+        """Append a record and return its offset.
+
+        If the reply is lost, the record may have been appended nevertheless.
+        """
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return records from ``start`` on, waiting for the first.
+        """Return the records from ``start`` on; wait up to ``wait_s`` for the first.
 
-        A start beyond the end gives no records, only where the end is.
+        If ``start`` is beyond the end, the page has no records, only the end.
         """
 
 
 class InstanceList(Protocol):
-    """The lagging list of live and leaving instances."""
+    """The list of live and draining instances; it lags behind."""
 
     async def fetch(self) -> tuple[Instance, ...]:
-        """Return the list as it was some time ago."""
+        """Return the list, which may be out of date."""
 
 
 LOG_ADAPTERS: Registry[Any] = Registry('log adapter')
--- a/packages/sesamepoint/src/sesamepoint/platform/names.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the platform's wire, each said here once."""
+"""Names of the platform's headers, paths, topics and keys."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 TOKEN_COUNTS: Final = b'sesamepoint-token-count'
 MODEL: Final = b'sesamepoint-model'
 EXPECT_INCARNATION: Final = b'sesamepoint-expect-instance'
-# The runner's signature of an answer; an answer without it is not a runner's.
+# A runner's signature of its response; a response without it is not from a runner.
 SIGNATURE: Final = b'sesamepoint-server-stamp'
-# On a refusal: the incarnation that has the address now.
+# In a refusal: the incarnation that has the address now.
 INCARNATION: Final = b'sesamepoint-instance-id'
 NOT_RUN: Final = b'sesamepoint-not-executed'
 PRIORITY: Final = b'sesamepoint-request-priority'
@@ -20,19 +20,20 @@
 KV_SOURCE: Final = b'sesamepoint-kv-source'
 KV_FETCH: Final = b'kv-fetch'
 LAST_EVENT: Final = b'last-event-id'
-# Names the account of the key that a caller showed.
+# The account that the caller's API key belongs to.
 ACCOUNT: Final = b'sesamepoint-tenant'
 AUTHORIZATION: Final = b'authorization'
 KEY_SCHEME: Final = b'bearer'
 RETRY_AFTER: Final = b'retry-after'
-# The requests a second that a runner takes from all instances together.
+# A runner's rate limit in requests per second, for all instances together.
 RUNNER_LIMIT: Final = b'server-limit'
-# It wants no new requests from anybody.
+# The runner is draining: it accepts no new requests from any instance.
 RUNNER_LEAVING: Final = b'server-leaving'
 CONTENT_ENCODING: Final = b'content-encoding'
 
-# Headers that only the system may set towards a runner. A caller that set
-# them could take over another's memory or hold a runner's slots.
+# Headers for runners that only the system may set; removed from callers'
+# requests. With them a caller could read another caller's KV cache or occupy
+# a runner's slots.
 SYSTEM_ONLY: Final = frozenset(
     (
         DEADLINE_MS,
@@ -47,7 +48,7 @@
         KV_FETCH,
     )
 )
-# Headers that concern one connection only, or that are set anew per hop.
+# Headers that apply to one connection only, or that are set anew on each hop.
 ONE_HOP: Final = frozenset(
     (
         b'connection',
@@ -61,11 +62,11 @@
         b'content-length',
     )
 )
-# Never dropped, even if a caller's Connection header lists them: a runner
-# must see the request as its caller sent it.
+# Forwarded even if a caller's Connection header lists them, so that the
+# runner receives the request as the caller sent it.
 ALWAYS_FORWARDED: Final = frozenset((b'host', REQUEST_ID, MODEL, TOKEN_COUNTS, PROMPT_PARTS, LAST_EVENT))
 
-# How often the store has come back from an older copy.
+# The store's epoch: how often the store was restored from an older copy.
 STORE_ERA: Final = b'store-era'
 
 READY_PATH: Final = '/v1/readyz'
@@ -74,11 +75,11 @@
 OPERATOR_TOPIC: Final = 'keyed.op'
 OPERATOR_KEY: Final = 'config'
 RUNNER_TOPIC: Final = 'keyed.servers'
-# A topic of our own: one record an entry, under its name.
+# Written by the instances: one record per instance, keyed by its name.
 ENTRY_TOPIC: Final = 'keyed.entries'
-# Another: one record for each request that may not be sent any more.
+# Written by the instances: one record per quarantined request.
 QUARANTINE_TOPIC: Final = 'keyed.quarantine'
-# Another: the lease of the reports on use, and the newest report.
+# Written by the instances: the lease for sending usage reports, and the newest report.
 DUTY_TOPIC: Final = 'keyed.duty'
 LEASE_KEY: Final = 'lease'
 REPORT_KEY: Final = 'report'
--- a/packages/sesamepoint/src/sesamepoint/platform/registration.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/registration.py
@@ -1,4 +1,4 @@
-"""Decoding of what runners register in the platform's store."""
+"""Decoding of runners' registrations in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,33 +18,35 @@
     service: Text
     address: Text
     zone: Text
-    # Of the runner's software; nothing here depends on it.
+    # Version of the runner's software; not used here.
     version: str
     slots: Positive
     state: Literal['ready', 'draining']
     cold_remaining_ms: Measure
-    # Not a version of the record: how many orders the runner has accepted.
+    # Number of orders that the runner has accepted, not a version of the record.
     sequence: Count
-    # Only engines have one.
+    # Set for engines only.
     stage: Literal['prefill', 'decode'] | msgspec.UnsetType = msgspec.UNSET
-    # When this start of the runner began. Not all deployments tell it.
+    # Start time of the runner's incarnation, in ms; not all deployments send it.
     born: _Start | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_runner(key: str, text: bytes) -> Runner:
-    """Return a runner's registration under ``key``.
+    """Decode the registration of the runner ``key``.
 
     Raises
     ------
     UnreadableRecordError
-        If ``text`` is no such document, or a field is missing, of another
-        type or out of its range.
+        If ``text`` is not a valid registration: malformed JSON, or a field
+        that is missing, has the wrong type or is out of range.
     """
     try:
         return _runner(key, msgspec.json.decode(text, type=_Registration))
     except ValueError as exc:
-        # Errors of msgspec are among these, and those of the address.
-        raise UnreadableRecordError(f'runner {key}: {exc}', 'it names no runner; look for who wrote it') from exc
+        # Also catches msgspec's errors and those of Address.parse.
+        raise UnreadableRecordError(
+            f'runner {key}: {exc}', 'the runner is not used; find out who wrote the record'
+        ) from exc
 
 
 def _runner(key: str, found: _Registration) -> Runner:
--- a/packages/sesamepoint/src/sesamepoint/platform/runner_words.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/runner_words.py
@@ -1,4 +1,4 @@
-"""Decoding of what runners say of themselves in the heads of their answers."""
+"""Decoding of the status headers in runners' responses."""
 
 from __future__ import annotations
 
@@ -18,46 +18,52 @@
     from sesamepoint.http1.messages import ResponseHead
 
 UNAVAILABLE = 503
-# As much of a text that can't be read as a log line needs.
+# Length to which an unreadable header value is cut for the log.
 SHOWN_TEXT = 40
 
 FoundT = TypeVar('FoundT')
 Decoder = Callable[['ResponseHead'], 'Iterator[RunnerWord]']
 
-DECODERS: Registry[Decoder] = Registry('word of a runner')
+DECODERS: Registry[Decoder] = Registry('status header decoder')
 
 
 def words_of(head: ResponseHead) -> list[RunnerWord]:
-    """Return all that the head of an answer says of its runner."""
-    return [word for name in DECODERS for word in DECODERS.get(name)(head)]
+    """Return all status headers in the head of a runner's response."""
+    return [decoded for name in DECODERS for decoded in DECODERS.get(name)(head)]
 
 
 @DECODERS.register('leaving')
 def _leaving(head: ResponseHead) -> Iterator[RunnerWord]:
-    """Of several texts one that says so is enough."""
-    said, unreadable = _read(head, names.RUNNER_LEAVING, 'leaving', parse_leaving)
-    if any(said):
+    """Decode draining; one of several headers that reports it is enough."""
+    parsed, unreadable = _read(head, names.RUNNER_LEAVING, 'leaving', parse_leaving)
+    if any(parsed):
         yield Leaves()
     yield from unreadable
 
 
 @DECODERS.register('rest')
 def _rest(head: ResponseHead) -> Iterator[RunnerWord]:
-    """Of several times the longest counts; none is asked for but by turning a request away."""
+    """Decode a back-off; the longest of several applies.
+
+    Only a response with status 503 can ask for a back-off.
+    """
     if head.status != UNAVAILABLE:
         return
-    said, unreadable = _read(head, names.RETRY_AFTER, 'rest', parse_rest)
-    if max(said, default=0) > 0:
-        yield Rests(max(said))
+    parsed, unreadable = _read(head, names.RETRY_AFTER, 'rest', parse_rest)
+    if max(parsed, default=0) > 0:
+        yield Rests(max(parsed))
     yield from unreadable
 
 
 @DECODERS.register('limit')
 def _limit(head: ResponseHead) -> Iterator[RunnerWord]:
-    """Of several limits the last good one counts."""
-    said, unreadable = _read(head, names.RUNNER_LIMIT, 'limit', parse_rate)
-    if said:
-        yield Limits(said[-1])
+    """Decode the rate limit; the last readable one of several applies.
+
+    A successful signed response without the header means that there is no limit.
+    """
+    parsed, unreadable = _read(head, names.RUNNER_LIMIT, 'limit', parse_rate)
+    if parsed:
+        yield Limits(parsed[-1])
     elif not unreadable and successful(head.status) and signed(head):
         yield NoLimit()
     yield from unreadable
@@ -66,15 +72,15 @@
 def _read(
     head: ResponseHead, name: bytes, word: str, parse: Callable[[str], FoundT]
 ) -> tuple[list[FoundT], list[Unreadable]]:
-    said: list[FoundT] = []
+    parsed: list[FoundT] = []
     unreadable: list[Unreadable] = []
     texts = [text.decode('latin-1') for found, text in head.headers if found == name]
     for text in texts:
         try:
-            said.append(parse(text))
+            parsed.append(parse(text))
         except ValueError:
             unreadable.append(Unreadable(word, text[:SHOWN_TEXT] or '(empty)'))
-    return said, unreadable
+    return parsed, unreadable
 
 
 __all__ = ('DECODERS', 'UNAVAILABLE', 'words_of')
--- a/packages/sesamepoint/src/sesamepoint/platform/settings.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays out for a process."""
+"""Decoding of the settings file that the platform provides for a process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read_settings(path: Path) -> FrontSettings:
-    """Return the settings in ``path``: lines of ``name=value``.
+    """Read the settings file ``path``: lines of ``name=value``.
 
     Raises
     ------
@@ -26,11 +26,11 @@
     try:
         return decode_settings(path.read_text(encoding='utf-8'))
     except OSError as exc:
-        raise SettingsError(f'{path}: {exc.strerror}', 'name a file that can be read') from exc
+        raise SettingsError(f'{path}: {exc.strerror}', 'name a readable file') from exc
 
 
 def decode_settings(text: str) -> FrontSettings:
-    """Return the settings that ``text`` holds.
+    """Decode the text of a settings file.
 
     Raises
     ------
@@ -59,7 +59,7 @@
         stop_s=float(pairs['bounds.grace_s']),
         config_s=_seconds(pairs, 'bounds.config_apply_ms'),
         retry_ratio=float(pairs['bounds.retry_ratio']),
-        # Named like a pause; it is a number of requests.
+        # A number of requests, despite the name of the setting.
         retry_reserve=float(pairs['bounds.budget_slack']),
         retry_window_s=float(pairs['bounds.budget_window_s']),
         link_bytes_s=float(pairs['limits.link_mbps']) * BITS_PER_MEGABIT / BITS_PER_BYTE,
--- a/packages/sesamepoint/src/sesamepoint/platform/store.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: the newest of each key, a log to follow."""
+"""Client of the platform's store: newest record of each key, and a log to follow."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 STATUS_GONE = 410
 STATUS_MOVED_ON = 412
 CONNECT_S = 0.5
-# The store answers in milliseconds; when slow, in a quarter of a second.
+# The store normally responds in milliseconds, and in 0.25 s when it is slow.
 CALL_S = 1.0
 _TWO_OFFSETS = struct.Struct('>QQ')
 _LENGTH = struct.Struct('>I')
 
 
 class KeyedRecord(NamedTuple):
-    """A record of a keyed topic; without text the key was dropped."""
+    """A record of a keyed topic; an empty text means that the key was deleted."""
 
     key: str
     text: bytes
 
 
 class Newest(NamedTuple):
-    """The newest record of each key, and the offset to follow from.
+    """Records of a topic, and the offset to follow it from.
 
-    Offsets are of the history that the store is in its ``era``.
+    Offsets are comparable only within one epoch of the store, ``era``.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -53,18 +53,18 @@
 
 
 class HistoryGoneError(Exception):
-    """The records asked for were deleted, or never were; read the newest of each key."""
+    """The requested records were deleted or never existed; read the newest of each key."""
 
 
 class Appended(NamedTuple):
-    """Where the log ends after a record was appended."""
+    """End offset of the log after an append, and the store's epoch."""
 
     end: int
     era: int
 
 
 class StoreAnswer(NamedTuple):
-    """An answer of the store, and its era."""
+    """A response of the store, and the epoch it belongs to."""
 
     status: int
     text: bytes
@@ -73,7 +73,7 @@
 
 class _Entry(msgspec.Struct, rename={'encoded': 'value'}):
     key: str
-    # Without the key that stands before it on the log.
+    # The record in base64, without the key that precedes it in the log.
     encoded: str
 
 
@@ -84,10 +84,10 @@
 
 
 class StoreClient:
-    """Keeps one connection; calls of one client run one at a time."""
+    """A client with one connection, which runs one call at a time."""
 
     def __init__(self, address: Address, network: Network, era: StoreEra) -> None:
-        """Aim at ``address`` over ``network``; all clients of a process share ``era``."""
+        """Call the store at ``address``; all clients of a process share ``era``."""
         self.era = era
         self._address = address
         self._network = network
@@ -95,12 +95,14 @@
         self._lock = trio.Lock()
 
     async def newest(self, topic: str, call_s: float = CALL_S) -> Newest:
-        """Return the newest record of each key of ``topic``, with ``call_s`` for each page.
+        """Return the newest record of each key of ``topic``.
+
+        ``call_s`` is the timeout of each page, in seconds.
 
         Raises
         ------
         PlatformUnavailableError
-            If the store did not answer.
+            If the store did not respond, or its epoch changed between two pages.
         """
         records: list[KeyedRecord] = []
         query = {'topic': topic, 'part': '0'}
@@ -110,69 +112,70 @@
             answer = await self._call('GET', '/v1/log-newest', query, call_s - CALL_S)
             page = _page(answer.text)
             if era not in {None, answer.era}:
-                raise PlatformUnavailableError('store', 'it went back between two pages')
+                raise PlatformUnavailableError('store', 'its epoch changed between two pages')
             era = answer.era
             records.extend(_keyed(found) for found in page.entries)
-            # Pages are read one after the other: what changes meanwhile is
-            # on the log after the end that the first page tells.
+            # Changes made while the pages are read are in the log after the
+            # end offset of the first page.
             end = page.end if end is None else end
             if not page.has_more or not records:
                 return Newest(tuple(records), end, era)
             query['after'] = records[-1].key
 
     async def follow(self, topic: str, start: int, wait_s: float) -> Newest:
-        """Return the records from ``start`` on, waiting for the first.
+        """Return the records from ``start`` on; wait up to ``wait_s`` for the first.
 
         Raises
         ------
         HistoryGoneError
-            If the records at ``start`` were deleted.
+            If the records at ``start`` were deleted or never existed.
         PlatformUnavailableError
-            If the store did not answer.
+            If the store did not respond.
         """
         query = {'topic': topic, 'part': '0', 'source': str(start), 'wait_ms': str(int(wait_s * MS_PER_S))}
         answer = await self._call('GET', '/v1/log-read', query, wait_s)
         text = answer.text
         if len(text) < _TWO_OFFSETS.size:
-            raise PlatformUnavailableError('store', 'a reply without offsets')
+            raise PlatformUnavailableError('store', 'the reply has no offsets')
         if _TWO_OFFSETS.unpack_from(text)[0] < start:
-            # The log ends before what was read of it: this is another history,
-            # or somebody told of an offset that there never was. To wait for
-            # it would be to hear nothing any more.
+            # The log ends before ``start``: the store was restored from an
+            # older copy, or a peer announced an offset that never existed.
+            # Waiting for ``start`` would miss all further updates.
             raise HistoryGoneError
         records = _split(text[_TWO_OFFSETS.size :])
         readable = (_keyed_record(topic, found) for found in records)
         return Newest(tuple(found for found in readable if found), start + len(records), answer.era)
 
     async def put(self, topic: str, key: str, text: bytes) -> None:
-        """Append the newest record of ``key``; empty text drops the key.
+        """Append a record of ``key``; an empty text deletes the key.
 
         Raises
         ------
         PlatformUnavailableError
-            If the store did not answer; the record may be there all the same.
+            If the store did not respond; the record may have been appended nevertheless.
         """
         await self._call('POST', '/v1/log-append', {'topic': topic, 'part': '0'}, body=_encoded(key, text))
 
     async def put_at(self, topic: str, key: str, text: bytes, end: int) -> Appended | None:
-        """Append the newest record of ``key`` if the log still ends at ``end``.
+        """Append a record of ``key`` if the log still ends at ``end``.
 
         Returns
         -------
-            Where the log ends then, and in which era; None if it has moved on.
+            The new end of the log and its epoch; None if the log ends elsewhere.
 
         Raises
         ------
         PlatformUnavailableError
-            If the store did not answer; the record may be there all the same,
-            or come to be there seconds later if the log still ends at ``end``.
+            If the store did not respond; the record may have been appended
+            nevertheless, or may be appended seconds later if the log still
+            ends at ``end``.
         """
         query = {'topic': topic, 'part': '0', 'at': str(end)}
         answer = await self._call('POST', '/v1/log-append', query, body=_encoded(key, text), allowed=STATUS_MOVED_ON)
         return None if answer.status == STATUS_MOVED_ON else Appended(end + 1, answer.era)
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._conn:
             self._conn.close()
         self._conn = None
@@ -203,12 +206,12 @@
         if conn is None:
             self.close()
             conn = ClientConn(await self._network.connect(self._address, CONNECT_S))
-        # Until the answer is whole the connection is not kept: one on which
-        # an answer got lost brings nothing more.
+        # The connection is kept only after a complete response: once a response
+        # was lost on it, it delivers no more.
         self._conn = None
         head = RequestHead(method.encode(), target.encode(), self._headers(body))
         try:
-            reply, text = await conn.ask(head, body)
+            response, text = await conn.ask(head, body)
         except BaseException:
             conn.close()
             raise
@@ -216,7 +219,7 @@
             self._conn = conn
         else:
             conn.close()
-        return StoreAnswer(reply.status, text, self.era.take(reply.headers))
+        return StoreAnswer(response.status, text, self.era.take(response.headers))
 
     def _headers(self, body: bytes) -> tuple[tuple[bytes, bytes], ...]:
         return ((b'host', str(self._address).encode()), (b'content-length', str(len(body)).encode()))
@@ -244,27 +247,30 @@
 
 def _split(text: bytes) -> list[bytes]:
     records = []
-    at = 0
-    while at < len(text):
-        if at + _LENGTH.size > len(text):
+    offset = 0
+    while offset < len(text):
+        if offset + _LENGTH.size > len(text):
             raise PlatformUnavailableError('store', 'a reply that ends within a record')
-        size = _LENGTH.unpack_from(text, at)[0]
-        at += _LENGTH.size
-        records.append(text[at : at + size])
-        at += size
-    if at > len(text):
+        size = _LENGTH.unpack_from(text, offset)[0]
+        offset += _LENGTH.size
+        records.append(text[offset : offset + size])
+        offset += size
+    if offset > len(text):
         raise PlatformUnavailableError('store', 'a reply that ends within a record')
     return records
 
 
 def _keyed_record(topic: str, record: bytes) -> KeyedRecord | None:
-    """Return the record, or None if another writer has put other bytes there."""
-    end = 1 + record[0] if record else 1
-    if end > len(record):
+    """Decode a record; log it and return None if it ends within its key.
+
+    Such a record comes from a writer that uses another format.
+    """
+    key_end = 1 + record[0] if record else 1
+    if key_end > len(record):
         events.log_event(events.RECORD_UNREADABLE, topic=topic, cause='it ends within its key')
         return None
-    # No runner has a key that isn't text; a made-up name harms nothing.
-    return KeyedRecord(record[1:end].decode(errors='replace'), record[end:])
+    # A key that isn't UTF-8 is no runner's, so a replacement name does no harm.
+    return KeyedRecord(record[1:key_end].decode(errors='replace'), record[key_end:])
 
 
 __all__ = ('Appended', 'HistoryGoneError', 'KeyedRecord', 'Newest', 'StoreAnswer', 'StoreClient')
--- a/packages/sesamepoint/src/sesamepoint/platform/store_era.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store_era.py
@@ -1,9 +1,9 @@
-"""Which history of the platform's store an answer belongs to.
+"""The epoch of the platform's store.
 
-The store may come back from a copy that is some seconds old. Then offsets go
-back and are given out again, and what it had acknowledged in those seconds is
-gone. It counts how often that happened, and says the count in each answer: the
-offsets of two eras have nothing to do with each other.
+The store may be restored from a copy that is some seconds old. Then it assigns
+offsets a second time, and the records that it acknowledged in those seconds are
+lost. It counts its restores and sends the count, its epoch, in each response.
+Offsets of different epochs are not comparable.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 if TYPE_CHECKING:
     from sesamepoint.http1.messages import Headers
 
-# No store goes back so often; a larger count is no count, and to believe it
-# would be to believe no answer of the store any more.
+# A larger count is treated as malformed: if it were accepted, all further
+# responses would be rejected as older.
 MAX_ERA = 1_000_000
 
 
 class StoreEra:
-    """The newest era that any answer to this process has told."""
+    """The newest epoch in any response to this process."""
 
     def __init__(self) -> None:
-        """Know none: stores that never go back tell none."""
+        """Start with epoch 0; a store that is never restored sends none."""
         self.known = 0
 
     def take(self, headers: Headers) -> int:
-        """Take an answer's headers and return its era.
+        """Update the newest epoch from a response's headers and return the response's epoch.
 
         Raises
         ------
         PlatformUnavailableError
-            If it is of an era that is over, or its count can't be read.
+            If the response is of an older epoch, or its epoch is malformed.
         """
         text = header(headers, STORE_ERA)
         if text is None:
             return self.known
         if not text.isdigit() or int(text) > MAX_ERA:
-            raise PlatformUnavailableError('store', 'its count of eras is no such number')
-        era = int(text)
-        if era < self.known:
-            # Sent before the store went back, or by one that was left behind.
-            raise PlatformUnavailableError('store', f'an answer of era {era}, {self.known} is known')
-        self.known = era
-        return era
+            raise PlatformUnavailableError('store', 'malformed epoch')
+        epoch = int(text)
+        if epoch < self.known:
+            # Sent before the restore, or by a replica that was not restored.
+            raise PlatformUnavailableError('store', f'response of epoch {epoch}, {self.known} is the newest')
+        self.known = epoch
+        return epoch
 
 
 __all__ = ('MAX_ERA', 'StoreEra')
--- a/packages/sesamepoint/src/sesamepoint/platform/unreadable.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/unreadable.py
@@ -1,4 +1,4 @@
-"""The error of records in the platform's store that can't be used."""
+"""The error raised for an unreadable record in the platform's store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnreadableRecordError(SesamepointError):
-    """A record in the platform's store that does not decode."""
+    """A record in the platform's store is malformed."""
 
 
 __all__ = ('UnreadableRecordError',)
--- a/packages/sesamepoint/src/sesamepoint/process/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/process/__init__.py
@@ -1,1 +1,1 @@
-"""Putting the parts of a process together."""
+"""Assembly of the components of each kind of process."""
--- a/packages/sesamepoint/src/sesamepoint/process/admin.py
+++ b/packages/sesamepoint/src/sesamepoint/process/admin.py
@@ -1,4 +1,4 @@
-"""The address for operators' tools: metrics, readiness, state, decisions."""
+"""ASGI application for operators' tools: metrics, readiness, state, decisions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AdminApp:
-    """Serves ``/metrics``, ``/ready`` and pages of JSON."""
+    """Serves ``/metrics``, ``/ready`` and JSON pages."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         ready: Callable[[], bool],
         pages: Mapping[str, Page],
     ) -> None:
-        """Serve ``registry``; ``pages`` maps paths to what they show."""
+        """Serve the metrics of ``registry``; ``pages`` maps paths to functions that return JSON data."""
         self._registry = registry
         self._ready = ready
         self._pages = pages
@@ -39,7 +39,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one ASGI scope."""
+        """Respond to one ASGI request."""
         status, body = self._page(scope['path'])
         headers = [(b'content-length', str(len(body)).encode())]
         await send({'type': 'http.response.start', 'status': status, 'headers': headers})
--- a/packages/sesamepoint/src/sesamepoint/process/agent_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/agent_process.py
@@ -1,4 +1,4 @@
-"""The agent process: its supervisor tree and its graceful stop."""
+"""The agent process: supervisor tree and graceful stop."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class AgentProcess:
-    """Everything that runs in one agent process."""
+    """The components of one agent process, and their supervisor tree."""
 
     def __init__(self, cfg: AgentSettings, parts: Parts, agent: Agent) -> None:
-        """Put the tree together without starting it."""
+        """Assemble the components without starting them."""
         self._cfg = cfg
         self._parts = parts
         self._agent = agent
@@ -37,7 +37,7 @@
 
     @classmethod
     def from_config(cls, cfg: AgentSettings) -> AgentProcess:
-        """Build from the agent's settings."""
+        """Build the process from the agent's settings."""
         parts = Parts.from_config(cfg)
         adapter = UPSTREAM_ADAPTERS.get(cfg['upstream']['adapter'])
         upstream = adapter.from_config(cfg['upstream'])
@@ -48,8 +48,8 @@
         """Run the tree until cancelled.
 
         The address is bound first and outside the tree: while an earlier
-        process of this slot lives, even paused, the bind fails, and two
-        agents cannot order one upstream about.
+        process of this slot is alive, even paused, the bind fails, so that
+        two agents cannot give orders to one upstream.
         """
         host, _, port = self._cfg['listen'].rpartition(':')
         async with trio.open_nursery() as nursery:
@@ -58,13 +58,13 @@
             await Supervisor('agent').run(self._children())
 
     async def wind_down(self) -> None:
-        """Take nothing new, let entries notice, finish all that runs."""
+        """Accept no new requests, give entries time to notice, finish running requests."""
         self._agent.leaving = True
         await trio.sleep(NOTICE_S)
         await self._agent.drained()
 
     def reload(self) -> None:
-        """Say that these settings are read once."""
+        """Log that these settings are only read at the start."""
         events.log_event(events.SETTINGS_REFUSED, cause='restart the process to change its settings')
 
     def _children(self) -> list[Child]:
--- a/packages/sesamepoint/src/sesamepoint/process/entry_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/entry_process.py
@@ -1,4 +1,4 @@
-"""The entry process: its supervisor tree and its graceful stop."""
+"""The entry process: supervisor tree and graceful stop."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class EntryProcess:
-    """Everything that runs in one entry process."""
+    """The components of one entry process, and their supervisor tree."""
 
     def __init__(self, cfg: EntrySettings, parts: Parts, entry: Entry) -> None:
-        """Put the tree together without starting it."""
+        """Assemble the components without starting them."""
         self._cfg = cfg
         self._parts = parts
         self._entry = entry
@@ -39,7 +39,7 @@
 
     @classmethod
     def from_config(cls, cfg: EntrySettings) -> EntryProcess:
-        """Build from the entry's settings."""
+        """Build the process from the entry's settings."""
         parts = Parts.from_config(cfg)
         fleets = Fleets(parts.follower, parts.instances, GrpcLink, parts.rng)
         return cls(cfg, parts, Entry(cfg['availability_zone'], parts.follower, fleets, parts.rng))
@@ -51,17 +51,17 @@
             await Supervisor('entry').run(self._children())
 
     def decisions(self) -> tuple[Decision, ...]:
-        """Return the last decisions, newest last."""
+        """Return the latest decisions, newest last."""
         return self._entry.decisions.newest()
 
     async def wind_down(self) -> None:
-        """Turn unready, let the balancer notice, finish all in flight."""
+        """Report not ready, give the load balancer time to notice, finish requests in flight."""
         self._stopping = True
         await trio.sleep(NOTICE_S)
         await self._entry.stop()
 
     def reload(self) -> None:
-        """Say that these settings are read once."""
+        """Log that these settings are only read at the start."""
         events.log_event(events.SETTINGS_REFUSED, cause='restart the process to change its settings')
 
     def _children(self) -> list[Child]:
--- a/packages/sesamepoint/src/sesamepoint/process/front_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/front_process.py
@@ -1,4 +1,4 @@
-"""The front process: its supervisor tree, its listeners, its reload."""
+"""The front process: supervisor tree, listeners and reload of settings."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
     Serve = Callable[[Transport], Awaitable[None]]
 
 METRICS_PATH = '/metrics'
-# Metrics are served here besides the address for readiness, which differs
-# from day to day. The deploy file names this port.
+# Metrics are also served on this fixed port, which the deploy file names: the
+# address for readiness may differ from day to day.
 METRICS_PORT = 9464
-# How often the settings file is looked at, in seconds: it may change without
-# a signal, and nothing in it is urgent.
+# Interval of checks whether the settings file has changed: it may change
+# without a signal, and no setting is urgent.
 LOOK_S = 1.0
 
 
 class FrontProcess:
-    """Everything that runs in one front process."""
+    """The components of one front process, and their supervisor tree."""
 
     def __init__(self, path: Path, cfg: FrontSettings) -> None:
-        """Put the tree together without starting it."""
+        """Assemble the components without starting them."""
         self._path = path
         pacer = LinkPacer(cfg.link_bytes_s)
         self._front = Front(cfg, SocketNetwork(pacer), SocketPeerNetwork(pacer), SystemRandom())
 
     @classmethod
     def from_config(cls, path: Path) -> FrontProcess:
-        """Build from the settings in ``path``, which may change later."""
+        """Build the process from the settings file ``path``, which may change later."""
         return cls(path, read_settings(path))
 
     @property
@@ -67,11 +67,11 @@
             await Supervisor('front').run(self._children(connections))
 
     async def wind_down(self) -> None:
-        """Turn unready, let the platform notice, finish what is under way."""
+        """Report not ready, give the platform time to notice, finish requests in progress."""
         await self._front.wind_down()
 
     def reload(self) -> None:
-        """Take changed settings; bad ones leave the old ones in force."""
+        """Apply changed settings; invalid ones leave the old ones in force."""
         try:
             cfg = read_settings(self._path)
         except SettingsError as exc:
@@ -94,12 +94,12 @@
         ]
 
     async def _serve_callers(self, connections: trio.Nursery) -> None:
-        """Take connections until the stop; they outlast the listener."""
+        """Accept connections until the stop; connections outlive the listener."""
         with self._front.listening:
             await _listen(self._front.door.serve, self._front.cfg.listen, connections)
 
     async def _serve_metrics(self) -> None:
-        """Serve metrics; requests go on without if the port is taken."""
+        """Serve metrics; if the port is in use, only log that."""
         address = Address(self._front.cfg.host, METRICS_PORT)
         try:
             await _listen(self._pages().serve, address)
@@ -107,13 +107,13 @@
             events.log_event(events.METRICS_UNSERVED, address=str(address), cause=repr(exc))
 
     async def _watch_settings(self) -> None:
-        seen = self._path.stat().st_mtime_ns
+        last_mtime = self._path.stat().st_mtime_ns
         while True:
             await trio.sleep(LOOK_S)
-            found = self._path.stat().st_mtime_ns
-            if found != seen:
+            mtime = self._path.stat().st_mtime_ns
+            if mtime != last_mtime:
                 self.reload()
-            seen = found
+            last_mtime = mtime
 
     def _pages(self) -> Pages:
         return Pages(
--- a/packages/sesamepoint/src/sesamepoint/process/own_settings.py
+++ b/packages/sesamepoint/src/sesamepoint/process/own_settings.py
@@ -1,4 +1,4 @@
-"""Building the processes that take their settings as JSON with comments."""
+"""Construction of entry and agent processes, whose settings are JSON with comments."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def build_entry(path: Path) -> EntryProcess:
-    """Build the entry whose settings are in ``path``."""
+    """Build the entry process from the settings file ``path``."""
     cfg = load_settings(path, EntrySettings)
     events.set_up_logs(cfg['name'])
     return EntryProcess.from_config(cfg)
 
 
 def build_agent(path: Path) -> AgentProcess:
-    """Build the agent whose settings are in ``path``."""
+    """Build the agent process from the settings file ``path``."""
     cfg = load_settings(path, AgentSettings)
     events.set_up_logs(cfg['name'])
     return AgentProcess.from_config(cfg)
--- a/packages/sesamepoint/src/sesamepoint/process/parts.py
+++ b/packages/sesamepoint/src/sesamepoint/process/parts.py
@@ -1,4 +1,4 @@
-"""What entry and agent processes have in common."""
+"""Components that entry and agent processes share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Parts(NamedTuple):
-    """The clients and the fold of one process."""
+    """Clients of the platform, and the follower of the control log, of one process."""
 
     incarnation: str
     log: LogService
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_config(cls, cfg: ProcessSettings) -> Parts:
-        """Build from a process's settings, under a new incarnation."""
+        """Build the components from a process's settings, with a new incarnation."""
         rng = SystemRandom()
         incarnation = new_incarnation(cfg['name'], rng)
         log = LOG_ADAPTERS.get(cfg['log']['adapter']).from_config(cfg['log'])
--- a/packages/sesamepoint/src/sesamepoint/process/stop.py
+++ b/packages/sesamepoint/src/sesamepoint/process/stop.py
@@ -1,4 +1,4 @@
-"""Turning SIGTERM into a graceful stop."""
+"""Graceful stop and reload of a process on signals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _nothing() -> None:
-    """Reload nothing."""
+    """Ignore the signal to reload."""
 
 
 async def run_until_stopped(
@@ -25,10 +25,10 @@
     wind_down: Callable[[], Awaitable[None]],
     reload: Callable[[], None] = _nothing,
 ) -> None:
-    """Run ``main``; on a signal run ``wind_down``, then cancel ``main``.
+    """Run ``main``; on SIGTERM or SIGINT run ``wind_down``, then cancel ``main``.
 
-    The signal to reload runs ``reload``, also while winding down: left to
-    its default it would end the process at once, with all its requests.
+    SIGHUP runs ``reload``, also during ``wind_down``: its default action would
+    end the process at once, with all its requests.
     """
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(*STOP_SIGNALS, RELOAD_SIGNAL) as signals:
--- a/packages/sesamepoint/src/sesamepoint/process/web.py
+++ b/packages/sesamepoint/src/sesamepoint/process/web.py
@@ -1,4 +1,4 @@
-"""Serving ASGI applications with hypercorn until cancelled."""
+"""HTTP server for ASGI applications, on hypercorn."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LifespanUnsupportedError(Exception):
-    """How an application tells hypercorn that it takes requests only."""
+    """Tells hypercorn that the application serves HTTP requests only."""
 
 
 async def serve_web(
--- a/packages/sesamepoint/src/sesamepoint/settings/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one process."""
+"""Settings of entry and agent processes."""
--- a/packages/sesamepoint/src/sesamepoint/settings/load.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading JSON with comments, checked as a whole."""
+"""Loading and validation of settings files: JSON with comments."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 
 
 def read_document(path: Path) -> Any:
-    """Return the document in a file of JSON with comments.
+    """Read a file of JSON with comments.
 
     Raises
     ------
     SettingsError
-        If the file cannot be read or is not such a document.
+        If the file cannot be read, or is not valid JSON with comments.
     """
     try:
         return json5.loads(path.read_text(encoding='utf-8'), allow_duplicate_keys=False)
     except OSError as exc:
-        raise SettingsError(f'{path}: {exc.strerror}', 'name a file that can be read') from exc
+        raise SettingsError(f'{path}: {exc.strerror}', 'name a readable file') from exc
     except ValueError as exc:
         first = str(exc).partition('\n')[0]
-        raise SettingsError(f'{path}: document: {first}', 'mend the JSON') from exc
+        raise SettingsError(f'{path}: document: {first}', 'correct the JSON') from exc
 
 
 def load_settings(path: Path, kind: type[SettingsT]) -> SettingsT:
-    """Return the checked settings in ``path``.
+    """Read and validate the settings file ``path``.
 
     Raises
     ------
     SettingsError
-        On the first thing that is wrong, with its path in the document.
+        With the first invalid field and its path in the document.
     """
     return checked(path, read_document(path), kind)
 
 
 def checked(path: Path, document: Any, kind: type[SettingsT]) -> SettingsT:
-    """Return ``document`` as a ``kind``; ``path`` tells where it came from.
+    """Validate ``document`` as a ``kind``; ``path`` is its source, for errors.
 
     Raises
     ------
     SettingsError
-        On the first thing that is wrong, with its path in the document.
+        With the first invalid field and its path in the document.
     """
     try:
         return TypeAdapter(kind).validate_python(document, strict=True)
     except ValidationError as exc:
-        found, _, remedy = next(describe(exc)).rpartition('; ')
-        raise SettingsError(f'{path}: {found}', remedy) from exc
+        problem, _, remedy = next(describe(exc)).rpartition('; ')
+        raise SettingsError(f'{path}: {problem}', remedy) from exc
 
 
 __all__ = ('SettingsError', 'checked', 'load_settings', 'read_document')
--- a/packages/sesamepoint/src/sesamepoint/settings/model.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of a process."""
+"""Types of the settings of entry and agent processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @with_config(_CLOSED)
 class ServiceSettings(TypedDict):
-    """An outside service: its adapter's registered name and its place."""
+    """An external service: the registered name of its adapter, and its URL."""
 
     adapter: str
     url: Annotated[str, Field(pattern=r'^http://[0-9.]+:[0-9]{1,5}$')]
@@ -22,7 +22,7 @@
 
 @with_config(_CLOSED)
 class ProcessSettings(TypedDict):
-    """What every process needs to know about itself."""
+    """Settings that all processes have."""
 
     name: Name
     availability_zone: Name
@@ -35,12 +35,12 @@
 
 @with_config(_CLOSED)
 class EntrySettings(ProcessSettings):
-    """Settings of an entry; it listens for callers."""
+    """Settings of an entry, which listens for callers."""
 
 
 @with_config(_CLOSED)
 class AgentSettings(ProcessSettings):
-    """Settings of an agent; it listens for entries."""
+    """Settings of an agent, which listens for entries."""
 
     runner: Name
     upstream: ServiceSettings
--- a/packages/sesamepoint/src/sesamepoint/settings_error.py
+++ b/packages/sesamepoint/src/sesamepoint/settings_error.py
@@ -1,4 +1,4 @@
-"""The error of settings that nothing may start from."""
+"""The error raised for invalid settings."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SettingsError(SesamepointError):
-    """A settings file that nothing may start from."""
+    """A settings file is missing or invalid."""
 
 
 __all__ = ('SettingsError',)
--- a/packages/sesamepoint/src/sesamepoint/single_error.py
+++ b/packages/sesamepoint/src/sesamepoint/single_error.py
@@ -1,4 +1,4 @@
-"""Taking the one error out of a nursery's exception group."""
+"""Unwrapping of the exception groups that nurseries raise."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @contextmanager
 def single_error() -> Iterator[None]:
-    """Raise the first error in a group by itself.
+    """Raise the first error of an exception group instead of the group.
 
-    Nurseries wrap whatever their tasks raise. Those who handle typed errors
-    care for the first cause, not for how many nurseries it passed.
+    Nurseries wrap the errors of their tasks in groups, one for each nursery on
+    the way; code that handles errors by type needs the error itself.
     """
     try:
         yield
--- a/packages/sesamepoint/src/sesamepoint/supervisor.py
+++ b/packages/sesamepoint/src/sesamepoint/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor tree: which part is restarted, how often, and what then."""
+"""Supervision of a process's components, with restarts after failures."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class Child(NamedTuple):
-    """One part of a process.
+    """A component of a process.
 
-    ``start`` runs until cancelled; when it returns, the part is over.
+    ``start`` runs until cancelled; if it returns, the component is finished.
     """
 
     name: str
@@ -29,39 +29,39 @@
 
 
 class Limit(NamedTuple):
-    """How many restarts within how many seconds are put up with."""
+    """Maximum number of restarts of a component within a time window."""
 
     restarts: int = 10
     window_s: float = 60.0
 
 
 class SupervisorGaveUpError(SesamepointError):
-    """A part kept failing."""
+    """A component failed more often than its restart limit allows."""
 
     def __init__(self, part: str) -> None:
-        """Name the part."""
+        """Set the name of the component."""
         super().__init__(f'{part} failed too often', 'the platform restarts the process; read its last events')
 
 
 class Supervisor:
-    """Runs parts side by side and restarts those that fail.
+    """Runs components concurrently and restarts those that fail.
 
-    A part's failure leaves its siblings alone: requests in flight live in
-    tasks of their own and outlast the part that started them.
+    A failure doesn't affect the other components. Requests in flight run in
+    tasks of their own and continue when the component that started them fails.
     """
 
     def __init__(self, name: str, limit: Limit | None = None) -> None:
-        """Set the limit that all parts share in kind, not in number."""
+        """Set the restart limit; each component counts its own restarts."""
         self._name = name
         self._limit = limit or Limit()
 
     async def run(self, children: Sequence[Child]) -> None:
-        """Run ``children`` until all are over or one fails too often.
+        """Run ``children`` until all have finished or one fails too often.
 
         Raises
         ------
         SupervisorGaveUpError
-            When one part used up its restarts; the siblings are cancelled.
+            If a component has used up its restarts; the others are cancelled.
         """
         async with trio.open_nursery() as nursery:
             for child in children:
