--- a/packages/sesamepoint/src/sesamepoint/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime: the front, entry and agent processes and their shared modules."""
+"""The runtime: the entry and agent processes and what they share."""
--- a/packages/sesamepoint/src/sesamepoint/command_line.py
+++ b/packages/sesamepoint/src/sesamepoint/command_line.py
@@ -24,7 +24,7 @@
     argv: Sequence[str] | None,
     act: Callable[[dict[str, Any]], None],
 ) -> int:
-    """Parse arguments by ``usage``, pass them to ``act``, and return the exit status.
+    """Parse arguments by ``usage``, run the command with them, and return the exit status.
 
     Returns
     -------
--- a/packages/sesamepoint/src/sesamepoint/http1/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 client and server connections on trio streams."""
+"""HTTP/1.1 on trio streams: one client connection, one server connection."""
--- a/packages/sesamepoint/src/sesamepoint/http1/client.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/client.py
@@ -58,7 +58,7 @@
         return wire + body
 
     async def send(self, wire: bytes) -> None:
-        """Send the bytes that :meth:`begin` returned.
+        """Send the bytes of a started request.
 
         Raises
         ------
@@ -160,7 +160,7 @@
         return True
 
     def quiet(self) -> bool:
-        """Tell whether the idle connection is open and has no unread bytes.
+        """Return whether the idle connection is open and has no unread bytes.
 
         Unread bytes belong to no request, so that such a connection must not
         be reused.
--- a/packages/sesamepoint/src/sesamepoint/http1/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/messages.py
@@ -25,7 +25,7 @@
 
     @property
     def framed(self) -> bool:
-        """Tell whether a length or chunked encoding marks the end of the body."""
+        """Return whether a length or chunked encoding marks the end of the body."""
         return any(name in {b'content-length', b'transfer-encoding'} for name, _ in self.headers)
 
 
@@ -60,8 +60,8 @@
 
 def header(headers: Headers, name: bytes) -> bytes | None:
     """Return the first value of the header ``name`` (in lower case), or None."""
-    for found, text in headers:
-        if found == name:
+    for field, text in headers:
+        if field == name:
             return text
     return None
 
--- a/packages/sesamepoint/src/sesamepoint/http1/server.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/server.py
@@ -46,7 +46,7 @@
 class Message(NamedTuple):
     """A complete request.
 
-    ``arrived`` is a time on trio's clock, ``caller`` the address of the caller.
+    The arrival time is on trio's clock; ``caller`` is the address of the caller.
     """
 
     head: RequestHead
@@ -69,8 +69,8 @@
     def __init__(self, transport: Transport, limits: ServerLimits, ending: Callable[[], bool] = _never) -> None:
         """Use ``transport``, which the creator of this object closes.
 
-        ``ending`` is called for each response; if it returns true, the response
-        announces that the connection closes after it.
+        The callable is invoked for each response; if it returns true, the
+        response announces that the connection closes after it.
         """
         self.closing = False
         self._ending = ending
@@ -81,7 +81,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Tell whether the connection can carry another request."""
+        """Return whether the connection can carry another request."""
         state = self._state
         return not self.closing and state.our_state is h11.DONE and state.their_state is h11.DONE
 
@@ -136,7 +136,7 @@
                 await trio.sleep_forever()
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of a response; :meth:`part` and :meth:`end` follow."""
+        """Send the head of a response; its body and :meth:`end` follow."""
         await self._send(self._head_bytes(status, headers))
 
     async def part(self, body: bytes) -> None:
@@ -162,9 +162,9 @@
         Raises
         ------
         CallerGoneError
-            If the caller has closed the connection. :meth:`watch` notices that
-            too, but only once its task is scheduled, which may take half a
-            second in a busy process.
+            If the caller has closed the connection. A task that waits for the
+            close notices it too, but only once it is scheduled, which may take
+            half a second in a busy process.
         """
         if self._transport.ended():
             raise CallerGoneError
--- a/packages/sesamepoint/src/sesamepoint/http1/transport.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/transport.py
@@ -38,10 +38,10 @@
         """Close at once."""
 
     def quiet(self) -> bool:
-        """Tell whether the connection is open and has no unread bytes."""
+        """Return whether the connection is open and has no unread bytes."""
 
     def ended(self) -> bool:
-        """Tell whether the far end has closed and all its bytes are read."""
+        """Return whether the far end has closed and all its bytes are read."""
 
 
 class Network(Protocol):
@@ -78,11 +78,11 @@
         self._stream.socket.close()
 
     def quiet(self) -> bool:
-        """Tell whether the connection is open and has no unread bytes."""
+        """Return whether the connection is open and has no unread bytes."""
         return _peek(self._stream) is None
 
     def ended(self) -> bool:
-        """Tell whether the far end has closed and all its bytes are read."""
+        """Return whether the far end has closed and all its bytes are read."""
         return _peek(self._stream) == b''
 
 
--- a/packages/sesamepoint/src/sesamepoint/log_output.py
+++ b/packages/sesamepoint/src/sesamepoint/log_output.py
@@ -57,7 +57,7 @@
         self._at = time.monotonic()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether ``record`` is written.
+        """Return whether ``record`` is written.
 
         The next line that passes gets the number of suppressed ones as a field.
         """
--- a/packages/sesamepoint/src/sesamepoint/platform/headers.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/headers.py
@@ -106,7 +106,7 @@
 
 
 def answers(req: FrontRequest, found: ResponseHead) -> bool:
-    """Tell whether a runner's response belongs to ``req``.
+    """Return whether a runner's response belongs to ``req``.
 
     A refusal of the whole connection may lack a request id.
     """
@@ -115,26 +115,26 @@
 
 
 def signed(found: ResponseHead) -> bool:
-    """Tell whether a response is signed by a runner and its body is not re-encoded."""
+    """Return whether a response is signed by a runner and its body is not re-encoded."""
     if header(found.headers, names.CONTENT_ENCODING) is not None:
         return False
     return header(found.headers, names.SIGNATURE) is not None
 
 
 def says_not_run(found: ResponseHead) -> bool:
-    """Tell whether a runner reports that it did not run the request."""
+    """Return whether a runner reports that it did not run the request."""
     return found.status == MISDIRECTED or header(found.headers, names.NOT_RUN) is not None
 
 
 def replaced(found: ResponseHead, incarnation: str) -> bool:
-    """Tell whether another incarnation than the expected one has responded."""
+    """Return whether another incarnation than the expected one has responded."""
     return answered_by(found, incarnation) != incarnation
 
 
 def answered_by(found: ResponseHead, incarnation: str) -> str:
     """Return the incarnation that has responded where ``incarnation`` was expected."""
-    named = header(found.headers, names.INCARNATION) if found.status == MISDIRECTED else None
-    return incarnation if named is None else named.decode('latin-1')
+    responder = header(found.headers, names.INCARNATION) if found.status == MISDIRECTED else None
+    return incarnation if responder is None else responder.decode('latin-1')
 
 
 def returned(found: ResponseHead) -> Headers:
--- a/packages/sesamepoint/src/sesamepoint/platform/http_log.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http_log.py
@@ -35,7 +35,7 @@
     """The log over HTTP: POST appends, a long-polling GET reads."""
 
     def __init__(self, caller: HttpCaller) -> None:
-        """Send all requests through ``caller``."""
+        """Send all requests through an HTTP client."""
         self._caller = caller
 
     @classmethod
@@ -62,7 +62,7 @@
     """The list of instances over HTTP; it lags behind."""
 
     def __init__(self, caller: HttpCaller) -> None:
-        """Send all requests through ``caller``."""
+        """Send all requests through an HTTP client."""
         self._caller = caller
 
     @classmethod
--- a/packages/sesamepoint/src/sesamepoint/platform/runner_words.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/runner_words.py
@@ -74,7 +74,7 @@
 ) -> tuple[list[FoundT], list[Unreadable]]:
     parsed: list[FoundT] = []
     unreadable: list[Unreadable] = []
-    texts = [text.decode('latin-1') for found, text in head.headers if found == name]
+    texts = [text.decode('latin-1') for field, text in head.headers if field == name]
     for text in texts:
         try:
             parsed.append(parse(text))
--- a/packages/sesamepoint/src/sesamepoint/platform/store.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store.py
@@ -44,7 +44,7 @@
 class Newest(NamedTuple):
     """Records of a topic, and the offset to follow it from.
 
-    Offsets are comparable only within one epoch of the store, ``era``.
+    Offsets are comparable only within one epoch of the store.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -87,7 +87,7 @@
     """A client with one connection, which runs one call at a time."""
 
     def __init__(self, address: Address, network: Network, era: StoreEra) -> None:
-        """Call the store at ``address``; all clients of a process share ``era``."""
+        """Call the store at ``address``; all clients of a process share the epoch."""
         self.era = era
         self._address = address
         self._network = network
@@ -97,7 +97,7 @@
     async def newest(self, topic: str, call_s: float = CALL_S) -> Newest:
         """Return the newest record of each key of ``topic``.
 
-        ``call_s`` is the timeout of each page, in seconds.
+        The timeout is in seconds and applies to each page.
 
         Raises
         ------
@@ -114,7 +114,7 @@
             if era not in {None, answer.era}:
                 raise PlatformUnavailableError('store', 'its epoch changed between two pages')
             era = answer.era
-            records.extend(_keyed(found) for found in page.entries)
+            records.extend(_keyed(entry) for entry in page.entries)
             # Changes made while the pages are read are in the log after the
             # end offset of the first page.
             end = page.end if end is None else end
@@ -143,8 +143,8 @@
             # Waiting for ``start`` would miss all further updates.
             raise HistoryGoneError
         records = _split(text[_TWO_OFFSETS.size :])
-        readable = (_keyed_record(topic, found) for found in records)
-        return Newest(tuple(found for found in readable if found), start + len(records), answer.era)
+        readable = (_keyed_record(topic, record) for record in records)
+        return Newest(tuple(record for record in readable if record), start + len(records), answer.era)
 
     async def put(self, topic: str, key: str, text: bytes) -> None:
         """Append a record of ``key``; an empty text deletes the key.
@@ -157,7 +157,7 @@
         await self._call('POST', '/v1/log-append', {'topic': topic, 'part': '0'}, body=_encoded(key, text))
 
     async def put_at(self, topic: str, key: str, text: bytes, end: int) -> Appended | None:
-        """Append a record of ``key`` if the log still ends at ``end``.
+        """Append a record of ``key`` if the log still ends at the given offset.
 
         Returns
         -------
@@ -168,7 +168,7 @@
         PlatformUnavailableError
             If the store did not respond; the record may have been appended
             nevertheless, or may be appended seconds later if the log still
-            ends at ``end``.
+            ends at that offset.
         """
         query = {'topic': topic, 'part': '0', 'at': str(end)}
         answer = await self._call('POST', '/v1/log-append', query, body=_encoded(key, text), allowed=STATUS_MOVED_ON)
--- a/packages/sesamepoint/src/sesamepoint/process/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/process/__init__.py
@@ -1,1 +1,1 @@
-"""Assembly of the components of each kind of process."""
+"""Putting the parts of a process together."""
--- a/packages/sesamepoint/src/sesamepoint/settings/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of entry and agent processes."""
+"""Settings of one process."""
--- a/packages/sesamepoint/src/sesamepoint/settings/load.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/load.py
@@ -43,7 +43,7 @@
 
 
 def checked(path: Path, document: Any, kind: type[SettingsT]) -> SettingsT:
-    """Validate ``document`` as a ``kind``; ``path`` is its source, for errors.
+    """Validate ``document`` against a type; ``path`` is its source, for errors.
 
     Raises
     ------
