--- a/packages/sesamepoint-standins/src/sesamepoint_standins/bed.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/bed.py
@@ -1,7 +1,7 @@
-"""A whole deployment in one process and in virtual time.
+"""Test bench that runs a whole deployment in one process.
 
-The entries and agents are the real ones; only the links, the log, the list
-and the engines are the small stand-ins of this package.
+The entries and agents are the real ones. The links, the log, the list of
+instances and the engines are the stand-ins of this package.
 """
 
 from __future__ import annotations
@@ -35,61 +35,63 @@
 
     from sesamepoint_core.config.model import Configuration, RunnerConfig
 
+# Network delay, one way.
 SAME_ZONE_S = 0.0002
 OTHER_ZONE_S = 0.0015
 DEFAULT_ROLE = 'mixed'
+# Tokens per chunk of an answer.
 FLUSH_TOKENS = 64
 
 
 class BedAgent:
-    """One agent process of the bed."""
+    """One agent process of the bench."""
 
     def __init__(self, agent: Agent, gate: Gate) -> None:
-        """Hold it without starting it."""
+        """Create the process without starting it."""
         self.agent = agent
         self.gate = gate
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Run its tree until killed."""
+        """Run the supervised tasks until killed."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
                 await Supervisor('agent').run(agent_children(self.agent))
 
     async def stop(self) -> None:
-        """Stop it gracefully, as SIGTERM does."""
+        """Stop gracefully, as on SIGTERM."""
         self.agent.leaving = True
         await self.agent.drained()
         self.scope.cancel()
 
 
 class BedEntry:
-    """One entry process of the bed."""
+    """One entry process of the bench."""
 
     def __init__(self, entry: Entry, gate: Gate) -> None:
-        """Hold it without starting it."""
+        """Create the process without starting it."""
         self.entry = entry
         self.gate = gate
         self.scope = trio.CancelScope()
 
     async def run(self) -> None:
-        """Run its tree until killed."""
+        """Run the supervised tasks until killed."""
         with self.scope:
             await Supervisor('entry').run(entry_children(self.entry))
 
     async def stop(self) -> None:
-        """Stop it gracefully, as SIGTERM does."""
+        """Stop gracefully, as on SIGTERM."""
         await self.entry.stop()
         self.scope.cancel()
 
 
 class Bed:
-    """The processes and stand-ins of one deployment."""
+    """Processes and stand-ins of one deployment."""
 
     def __init__(self, configuration: Configuration, seed: int, nursery: trio.Nursery) -> None:
-        """Start the stand-ins; processes are started one by one."""
+        """Start the engines; agents and entries are started separately."""
         self.configuration = configuration
         self.log = MemoryLog()
         self.instances = MemoryInstances()
@@ -114,9 +116,9 @@
         policy: str = 'default',
         fleets: frozenset[str] | None = None,
     ) -> AsyncIterator[Bed]:
-        """Run a bed with some entries, its configuration, and its agents.
+        """Run a bench with ``entries`` entries and the agents of the configuration.
 
-        If ``fleets`` are given, only theirs.
+        With ``fleets``, only the agents of these fleets are started.
         """
         checked = parse_configuration(msgspec.json.encode(configuration))
         async with trio.open_nursery() as nursery:
@@ -162,20 +164,20 @@
         return started
 
     def kill_entry(self, name: str) -> None:
-        """Kill an entry process; its callers see their connections break."""
+        """Kill an entry process; the connections of its callers break."""
         killed = self.entries.pop(name)
         killed.scope.cancel()
         killed.gate.paused = True
 
     async def publish(self, configuration: dict[str, Any]) -> None:
-        """Publish on top of whatever is in force and wait for the fold."""
+        """Publish on top of the current version and wait until it is applied."""
         async with self.operator() as follower:
             raw = msgspec.Raw(msgspec.json.encode(configuration))
             await follower.submit(Publish(follower.state.version, 'bed', raw))
 
     @asynccontextmanager
     async def operator(self) -> AsyncIterator[Follower]:
-        """Follow the control stream as an operator's tool does."""
+        """Yield a follower of the control stream, as an operator's tool uses it."""
         follower = self._follower('operator', Gate())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.follow)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/cli.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/cli.py
@@ -30,12 +30,12 @@
 
 
 async def serve_platform(address: str) -> None:
-    """Serve the log and the list of instances."""
+    """Serve the log and the list of instances at ``address``."""
     await serve_web(PlatformApp(MemoryLog(), MemoryInstances()), address)
 
 
 async def serve_engine(address: str, engine: Engine) -> None:
-    """Serve one engine."""
+    """Run and serve one engine at ``address``."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(engine.run)
         await serve_web(EngineApp(engine), address)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in engine: continuous batching in steps, on trio's clock."""
+"""Stand-in for an inference engine: continuous batching in steps, on trio's clock."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 from sesamepoint.upstream.base import UpstreamLoad
 from sesamepoint_standins import engine_model as model
 
+# Decode steps that are simulated with one sleep.
 MAX_STEPS = 16
 SNAPSHOT_S = 0.1
 KEPT_SNAPSHOTS = 64
+# Averaging time of the reported step duration.
 STEP_MEMORY_S = 4.0
+# Prefixes in a load report.
 KEPT_PREFIXES = 16
 
 
 class EngineRequest(NamedTuple):
-    """One completion as the engine gets it."""
+    """Completion request as the engine receives it."""
 
     name: str
     prompt_tokens: int
@@ -32,11 +35,11 @@
 
 
 class EngineRefusedError(Exception):
-    """An order that the engine does not take."""
+    """Order to change the role that the engine refuses."""
 
 
 class _Running:
-    """One request inside the engine."""
+    """Request that waits or runs in the engine."""
 
     def __init__(self, req: EngineRequest, left: int, out: trio.MemorySendChannel[str]) -> None:
         self.req = req
@@ -47,35 +50,39 @@
 
     @property
     def output_left(self) -> int:
-        """Tokens still to generate."""
+        """Return the number of tokens still to generate."""
         return self.req.output_tokens - self.produced
 
     def produce(self, steps: int, flush_tokens: int) -> None:
-        """Generate tokens and send them when enough are there."""
+        """Generate a token per step, and send the unsent text.
+
+        It is sent from ``flush_tokens`` tokens on, and at once for the first and
+        the last token.
+        """
         self.produced += steps
         due = self.produced - self.sent
         if due >= flush_tokens or not self.output_left or not self.sent:
-            # A client that went away without a cancel goes unnoticed.
+            # The engine does not notice a client that disconnects without a cancel.
             with suppress(trio.BrokenResourceError):
                 self.out.send_nowait(model.answer_text(self.req.seed, self.sent, due))
             self.sent = self.produced
 
 
 class Engine:
-    """Runs steps: prompt chunks and running answers share each of them.
+    """Simulated engine; each step covers a prompt chunk and all running answers.
 
     Parameters
     ----------
     role
-        The role that is loaded at first.
+        Initial role.
     checks_fencing
-        Whether an order under an older fencing number is refused.
+        Whether an order with an older fencing number is refused.
     flush_tokens
-        Tokens per piece of an answer's stream.
+        Tokens per chunk of an answer's stream.
     """
 
     def __init__(self, role: str, *, checks_fencing: bool, flush_tokens: int = 1) -> None:
-        """Start idle."""
+        """Start without requests."""
         self.role = role
         self.fence = -1
         self.changing = False
@@ -99,9 +106,9 @@
         self._step_s = model.BASE_STEP_S
 
     def submit(self, req: EngineRequest) -> trio.MemoryReceiveChannel[str]:
-        """Queue ``req``; its text comes out of the channel.
+        """Queue ``req`` and return the channel of its text.
 
-        The channel closes early, and breaks, when the engine drops it.
+        The channel is closed early if the engine drops the request.
         """
         sender, receiver = trio.open_memory_channel[str](float('inf'))
         cached = self._cached_tokens(req)
@@ -113,7 +120,7 @@
         return receiver
 
     def cancel(self, name: str) -> None:
-        """Drop a request, wherever it is."""
+        """Drop a waiting or running request."""
         for found in self._inside(name):
             queue = self._waiting if found in self._waiting else self._running
             queue.remove(found)
@@ -121,7 +128,7 @@
             self._arrived.set_off()
 
     def load(self) -> UpstreamLoad:
-        """Return the report as it was some time ago; role and change are exact."""
+        """Return the delayed load report; ``role`` and ``changing`` are current."""
         self._snapshot()
         horizon = trio.current_time() - model.REPORT_LAG_S - self.report_extra_lag_s
         old = [load for made_at, load in self._reports if made_at <= horizon]
@@ -129,20 +136,20 @@
         return load._replace(role=self.role, changing=self.changing)
 
     def order(self, role: str, fence: int) -> None:
-        """Begin a role change; whatever runs is dropped.
+        """Begin a role change and drop all requests.
 
         Raises
         ------
         EngineRefusedError
-            If the role is unknown, a change is under way, or the fencing
-            number is older than one seen and this engine checks.
+            If the role is unknown, a role change is in progress, or the
+            engine checks fencing and the number is older than the newest.
         """
         if role not in model.PROFILES:
             raise EngineRefusedError(f'unknown role {role!r}')
         if self._checks_fencing and fence < self.fence:
             raise EngineRefusedError(f'fencing number {fence} is older than {self.fence}')
         if self.changing:
-            raise EngineRefusedError('a change is under way')
+            raise EngineRefusedError('a role change is in progress')
         self.fence = max(fence, self.fence)
         self.orders.append((role, fence))
         self.cut_off_by_order += len(self._inside())
@@ -154,7 +161,7 @@
         self._arrived.set_off()
 
     def crash(self) -> None:
-        """Drop everything; a change under way stays half done."""
+        """Drop all requests and the cache; a role change in progress stays unfinished."""
         self._drop_all()
         self._cache.clear()
         self.changing = False
@@ -227,7 +234,7 @@
         self._produce(decoding, steps)
 
     def _note_step(self, one_s: float, steps: int) -> None:
-        """Average the seconds per step over the last few seconds."""
+        """Update the average duration of a step, in seconds."""
         weight = min(steps * one_s / STEP_MEMORY_S, 1)
         self._step_s += weight * (one_s - self._step_s)
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
@@ -1,4 +1,4 @@
-"""The numbers of the stand-in engine and why they are what they are."""
+"""Performance model of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -6,31 +6,30 @@
 from types import MappingProxyType
 from typing import Final, NamedTuple
 
-# A forward pass has a cost that does not depend on its batch: reading the
-# weights. 25 ms is that of a model of some 70 GB on 2.8 TB/s of memory.
+# Fixed cost of a forward pass: reading the weights, 70 GB at 2.8 TB/s.
 BASE_STEP_S: Final = 0.025
-# Prefill is bound by arithmetic: 6,000 tokens a second at best.
+# Prefill is compute-bound: at most 6,000 tokens/s.
 PREFILL_TOKEN_S: Final = 1 / 6_000
-# Each answer in the batch reads its own KV cache: 0.6 ms for some 8,000
-# tokens of context.
+# Time to read the KV cache of one answer in the batch, with about 8,000 tokens
+# of context.
 DECODE_ANSWER_S: Final = 0.0006
-# Loading another role's kernels and memory layout takes seconds.
+# Time to load the kernels and the memory layout of another role.
 ROLE_CHANGE_S: Final = 8.0
-# Room for cached prefixes, in tokens, beside the running answers.
+# Capacity for cached prefixes, in addition to the running answers.
 PREFIX_CACHE_TOKENS: Final = 65_536
-# A report is read from counters that the engine writes a few times a second.
+# The engine updates the counters of its load report a few times a second.
 REPORT_LAG_S: Final = 0.3
 
 
 class Profile(NamedTuple):
-    """What a role sets: prompt tokens per step, and answers at once."""
+    """Prompt tokens per step and concurrent answers of a role."""
 
     chunk_tokens: int
     max_running: int
 
 
-# A large chunk spends little on the fixed cost, but every answer in the
-# batch waits for it: 366 ms between tokens at 2,048, 46 ms at 128.
+# A larger chunk spreads the fixed cost over more tokens, but delays every answer
+# in the batch: 366 ms between tokens at 2,048, 46 ms at 128.
 PROFILES: Final = MappingProxyType(
     {
         'prefill': Profile(2048, 8),
@@ -38,27 +37,28 @@
         'decode': Profile(128, 64),
     }
 )
+# Reported role during a role change.
 HALF_SWITCHED: Final = 'half-switched'
 
 
 def step_s(prefill_tokens: int, running: int) -> float:
-    """Return the seconds of one forward pass."""
+    """Return the duration of one forward pass, in seconds."""
     return BASE_STEP_S + prefill_tokens * PREFILL_TOKEN_S + running * DECODE_ANSWER_S
 
 
 def prefill_rate(role: str, running: int) -> float:
-    """Return prompt tokens a second with ``running`` answers beside."""
+    """Return the prefill rate with ``running`` answers in the batch, in tokens/s."""
     chunk = PROFILES[role].chunk_tokens if role in PROFILES else 0
     return chunk / step_s(chunk, running)
 
 
 def answer_text(seed: int, start: int, count: int) -> str:
-    """Return ``count`` words of the answer that ``seed`` determines."""
+    """Return ``count`` words of the answer that belongs to ``seed``, one per token."""
     return ''.join(f'{seed % 997:03d}.{number} ' for number in range(start, start + count))
 
 
 def seed_of(prompt: bytes) -> int:
-    """Return the seed that a prompt's answer is made from."""
+    """Return the seed of the answer to ``prompt``."""
     return zlib.crc32(prompt)
 
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/gate.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/gate.py
@@ -1,4 +1,4 @@
-"""Where a process of the bed meets the world: paused, killed or cut off."""
+"""Simulated faults of a process: paused, or cut off from the log."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class Gate:
-    """Holds all that a paused process sends and receives.
+    """Fault state of one process; blocks its calls while it is paused.
 
-    A stopped process does nothing; on waking it goes on where it was, with
-    what it believed before. Holding its calls at the border amounts to that.
+    A stopped process does nothing, and continues with its old state when it is
+    resumed. Blocking its calls has the same effect.
     """
 
     def __init__(self) -> None:
-        """Start open."""
+        """Start without faults."""
         self.paused = False
         self.cut_from_log = False
         self._opened = Signal()
 
     def resume(self) -> None:
-        """Let everything through again."""
+        """Resume the process and release its blocked calls."""
         self.paused = False
         self._opened.set_off()
 
@@ -46,22 +46,22 @@
 
 
 class GatedLog:
-    """The log as one process reaches it."""
+    """Client of the log that obeys the faults of its process."""
 
     def __init__(self, log: MemoryLog, gate: Gate) -> None:
-        """Pass calls through ``gate``."""
+        """Apply the faults of one process to its calls."""
         self._log = log
         self._gate = gate
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Append, if the process can."""
+        """Append unless the process is paused or cut off from the log."""
         await self._reach()
         offset = await self._log.append(stream, payload)
         await self._reach()
         return offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Read, if the process can."""
+        """Read unless the process is paused or cut off from the log."""
         await self._reach()
         page = await self._log.read(stream, start, wait_s)
         await self._reach()
@@ -75,46 +75,46 @@
 
 
 class GatedInstances:
-    """The list of instances as one process reaches it."""
+    """Client of the list of instances that obeys the faults of its process."""
 
     def __init__(self, instances: MemoryInstances, gate: Gate) -> None:
-        """Pass calls through ``gate``."""
+        """Apply the faults of one process to its calls."""
         self._instances = instances
         self._gate = gate
 
     async def fetch(self) -> tuple[Instance, ...]:
-        """Fetch, if the process can."""
+        """Fetch the list once the process is not paused."""
         await self._gate.enter()
         return await self._instances.fetch()
 
 
 class GatedUpstream:
-    """An engine as its agent reaches it."""
+    """Client of an engine that obeys the faults of the agent."""
 
     def __init__(self, upstream: MemoryEngine, gate: Gate) -> None:
-        """Pass calls through ``gate``."""
+        """Apply the faults of one process to its calls."""
         self._upstream = upstream
         self._gate = gate
 
     async def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
-        """Run a job."""
+        """Run a job and yield its chunks."""
         await self._gate.enter()
         async for chunk in self._upstream.start(attempt, job):
             await self._gate.enter()
             yield chunk
 
     async def cancel(self, attempt: str) -> None:
-        """Stop a job."""
+        """Cancel a job."""
         await self._gate.enter()
         await self._upstream.cancel(attempt)
 
     async def load(self) -> UpstreamLoad:
-        """Ask for the load."""
+        """Return the load report."""
         await self._gate.enter()
         return await self._upstream.load()
 
     async def order(self, role: str, fence: int) -> None:
-        """Give an order."""
+        """Order the engine to change its role."""
         await self._gate.enter()
         await self._upstream.order(role, fence)
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/log.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/log.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's log."""
+"""In-memory stand-ins for the platform's log and its list of instances."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from sesamepoint.platform.messages import Instance, LogPage, LogRecord
 
 PAGE_RECORDS = 1000
+# Appends a second over all streams.
 APPEND_LIMIT = 300
 APPEND_S = 0.002
 
 
 class LogFaults:
-    """What is wrong with the log now; tests and the demo set it.
-
-    ``away`` refuses all calls, ``lose_replies`` is how many appends take
-    effect and then seem to fail, ``slow_s`` is added to each call.
-    """
+    """Current faults of the log, as set by tests and the demo."""
 
     def __init__(self) -> None:
         """Start without faults."""
+        # All calls fail.
         self.away = False
+        # Number of appends that take effect but report an error.
         self.lose_replies = 0
+        # Delay added to each call, in seconds.
         self.slow_s: float = 0
 
 
 class MemoryLog:
-    """Streams with offsets, an append limit, retention, and faults.
+    """Log of streams with offsets, an append limit, retention and faults.
 
     Parameters
     ----------
     append_s
-        Seconds that an append takes.
+        Duration of an append, in seconds.
     append_limit
-        Appends a second over all streams; more than that fail.
+        Appends a second over all streams; further appends fail.
     """
 
     def __init__(self, append_s: float = APPEND_S, append_limit: int = APPEND_LIMIT) -> None:
@@ -51,18 +51,25 @@
         self._in_second = 0
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Append and return the offset."""
+        """Append a record and return its offset.
+
+        Raises
+        ------
+        PlatformUnavailableError
+            During an outage, beyond the append limit, or if the reply is lost;
+            in the last case the record is stored.
+        """
         await self._enter(self._append_s)
         self._count_append()
         kept = self._stream(stream)
         offset = kept.append(payload)
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
-            raise PlatformUnavailableError('log', 'the reply was lost')
+            raise PlatformUnavailableError('log', 'reply lost')
         return offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return records from ``start`` on, waiting for the first."""
+        """Return records from ``start`` on; wait at most ``wait_s`` for the first."""
         await self._enter(0)
         kept = self._stream(stream)
         if kept.end <= start and wait_s > 0:
@@ -71,7 +78,7 @@
         return kept.page(start)
 
     def trim(self, stream: str, before: int) -> None:
-        """Forget the records of ``stream`` before an offset."""
+        """Drop the records of ``stream`` before an offset."""
         self._stream(stream).trim(before)
 
     async def _enter(self, seconds: float) -> None:
@@ -85,14 +92,14 @@
         self._in_second = self._in_second + 1 if second == self._second else 1
         self._second = second
         if self._in_second > self._append_limit:
-            raise PlatformUnavailableError('log', 'append limit')
+            raise PlatformUnavailableError('log', 'append limit exceeded')
 
     def _stream(self, name: str) -> _Stream:
         return self._streams.setdefault(name, _Stream())
 
 
 class _Stream:
-    """One stream's records and its first offset kept."""
+    """Records of one stream and the offset of the first one that is kept."""
 
     def __init__(self) -> None:
         self.grown = Signal()
@@ -101,7 +108,7 @@
 
     @property
     def end(self) -> int:
-        """The offset that the next record gets."""
+        """Return the offset of the next record."""
         return self._earliest + len(self._records)
 
     def append(self, payload: bytes) -> int:
@@ -126,14 +133,14 @@
 
 
 class Listed(NamedTuple):
-    """An instance and when its row changed."""
+    """Row of the list of instances, and when it changed."""
 
     leaving: bool
     since: float
 
 
 class MemoryInstances:
-    """The lagging list: a change shows ``lag_s`` after it was made."""
+    """List of instances; a change becomes visible after ``lag_s`` seconds."""
 
     def __init__(self, lag_s: float = 2.0) -> None:
         """Start empty."""
@@ -142,11 +149,11 @@
         self._rows: dict[str, Listed] = {}
 
     def put(self, address: str, *, leaving: bool) -> None:
-        """Record a change."""
+        """Add or change the row of an instance."""
         self._rows[address] = Listed(leaving, trio.current_time())
 
     async def fetch(self) -> tuple[Instance, ...]:
-        """Return the list as it was ``lag_s`` ago."""
+        """Return the rows that changed at least ``lag_s`` seconds ago."""
         await trio.lowlevel.checkpoint()
         if self.away:
             raise PlatformUnavailableError('instance list', 'outage')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine as an upstream, without sockets."""
+"""In-memory upstream in front of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class MemoryEngine:
-    """Adapts an :class:`Engine` to the agent's side of an upstream."""
+    """Adapter from an :class:`Engine` to the agent's upstream interface."""
 
     def __init__(self, engine: Engine) -> None:
-        """Wrap ``engine``; it is reachable at first."""
+        """Wrap ``engine``, reachable at first."""
         self.engine = engine
         self.reachable = True
 
@@ -46,17 +46,23 @@
             raise UpstreamError('the stream ended without its end mark')
 
     async def cancel(self, attempt: str) -> None:
-        """Stop the completion, if it runs."""
+        """Cancel the completion if it runs."""
         await self._enter()
         self.engine.cancel(attempt)
 
     async def load(self) -> UpstreamLoad:
-        """Ask for the engine's report."""
+        """Return the engine's load report."""
         await self._enter()
         return self.engine.load()
 
     async def order(self, role: str, fence: int) -> None:
-        """Tell the engine to take ``role``."""
+        """Order the engine to change to ``role``.
+
+        Raises
+        ------
+        OrderRefusedError
+            If the engine refuses the order.
+        """
         await self._enter()
         try:
             self.engine.order(role, fence)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
@@ -1,4 +1,4 @@
-"""Links between the processes of the bed, with the faults of a network."""
+"""In-memory links between entries and agents, with network faults."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
 
 
 class Wire:
-    """The network between one entry and one agent.
+    """Network between one entry and one agent.
 
-    ``cut`` loses everything; ``muted`` loses what goes over connections
-    opened so far, while new ones work.
+    ``cut`` drops all traffic. ``muted`` is the number of the last connection
+    whose traffic is dropped; later connections work.
     """
 
     def __init__(self, delay_s: float) -> None:
-        """Start whole; ``delay_s`` is the time one way."""
+        """Start without faults, with a one-way delay of ``delay_s`` seconds."""
         self.delay_s = delay_s
         self.cut = False
         self.muted = -1
         self.opened = 0
 
     def mute(self) -> None:
-        """Lose track of the connections that are open now."""
+        """Drop all further traffic of the connections opened so far."""
         self.muted = self.opened
 
     def passes(self, connection: int) -> bool:
-        """Tell whether anything comes through on a connection."""
+        """Return whether traffic of a connection is delivered."""
         return not self.cut and connection > self.muted
 
 
@@ -56,7 +56,7 @@
 
 
 class Host(NamedTuple):
-    """The agent process that lives at an address now."""
+    """Agent process that currently serves an address."""
 
     handler: AgentHandler
     gate: Gate
@@ -64,10 +64,10 @@
 
 
 class MemoryLink:
-    """The entry's side of a link to whatever lives at an address."""
+    """Entry's side of a link to the agent that serves an address."""
 
     def __init__(self, address: str, wire: Wire, find: Callable[[], Host | None], own_gate: Gate) -> None:
-        """Connect over ``wire``; ``find`` tells who lives there."""
+        """Connect to the agent that the finder returns; None refuses the connection."""
         self._address = address
         self._wire = wire
         self._find = find
@@ -76,7 +76,7 @@
         self._open: list[trio.MemorySendChannel[Timed]] = []
 
     def renew(self, generation: int) -> None:
-        """Open a new connection; streams on the old one break."""
+        """Replace the connection ``generation``; its streams break."""
         if generation != self.generation:
             return
         self._wire.opened += 1
@@ -85,27 +85,27 @@
             sender.close()
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         reply: CancelReply = await self._call(lambda host: host.handler.cancel(req))
         return reply
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Ask for a sign of life."""
+        """Request a heartbeat and the load report."""
         reply: LoadReport = await self._call(lambda host: host.handler.beat(req))
         return reply
 
     async def sync(self, req: SyncRequest) -> SyncReply:
-        """Ask for records."""
+        """Request records."""
         reply: SyncReply = await self._call(lambda host: host.handler.sync(req))
         return reply
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Ask for the right to run under an idempotency key."""
+        """Claim the right to run under an idempotency key."""
         reply: ClaimReply = await self._call(lambda host: host.handler.claim(req))
         return reply
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Tell how the run under an idempotency key ended."""
+        """Report how the run under an idempotency key ended."""
         reply: SettleReply = await self._call(lambda host: host.handler.settle(req))
         return reply
 
@@ -114,8 +114,8 @@
         """Open the stream of an attempt's frames."""
         scope = trio.CancelScope()
         sender, receiver = trio.open_memory_channel[Timed](float('inf'))
-        # Held until the connection is given up: one that went silent does
-        # not end, it only brings nothing more.
+        # Kept open until the connection is renewed: a silent connection does
+        # not end, it only delivers nothing more.
         self._open.append(sender)
         try:
             yield self._frames(req, sender, receiver, scope)
@@ -163,9 +163,9 @@
             host = self._host()
             host.nursery.start_soon(_serve_run, host, req, sender, scope)
         async for sent_at, frame in receiver:
-            late_s = sent_at + self._wire.delay_s - trio.current_time()
-            if late_s > 0:
-                await trio.sleep(late_s)
+            remaining_s = sent_at + self._wire.delay_s - trio.current_time()
+            if remaining_s > 0:
+                await trio.sleep(remaining_s)
             await self._own_gate.enter()
             if self._wire.passes(connection):
                 yield frame
@@ -178,7 +178,7 @@
     sender: trio.MemorySendChannel[Timed],
     scope: trio.CancelScope,
 ) -> None:
-    """Run the handler in the agent's own nursery: it dies with the agent."""
+    """Run the handler; called in the agent's nursery, so that it ends with the agent."""
     with scope:
         try:
             await _answer(host, req, sender)
@@ -189,7 +189,7 @@
 
 async def _answer(host: Host, req: RunRequest, sender: trio.MemorySendChannel[Timed]) -> None:
     await host.gate.enter()
-    # A reader that closed its end no longer wants the frames.
+    # The entry has closed its end of the stream.
     with suppress(trio.ClosedResourceError, trio.BrokenResourceError):
         await host.handler.run(req, lambda frame: sender.send_nowait((trio.current_time(), frame)))
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/__init__.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the users' platform, all in one process and on virtual time."""
+"""Stand-ins for the users' platform: store, network, runners, callers and usage service."""
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/bed.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/bed.py
@@ -1,4 +1,4 @@
-"""A deployment on the platform: store, runners and fronts in one process."""
+"""Test bench that runs store, runners and fronts in one process."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 DUTY = DutySettings(USAGE, window_s=5, late_s=10, turns_s=3)
 FRONT_PORT = 8000
 READY_S = 5.0
-# A runner that has ended is back so many seconds later, as another start; until
-# then its registration stays.
+# A crashed runner restarts after this time as a new incarnation. Its registration
+# stays until then.
 BACK_S = 3.0
-# From the first token of a request that ends its runner to that end, in seconds.
+# Time from the first token of a poison request to the crash of its runner.
 ENDS_AFTER_S = 0.1
 
 
 def front_settings(number: int, duty: DutySettings | None = None) -> FrontSettings:
-    """Return the settings of the front called ``number``."""
+    """Return the settings of the front with this number."""
     host = f'10.1.0.{number}'
     return FrontSettings(
         name=f'front-{number}',
@@ -58,17 +58,17 @@
 
 
 class End(NamedTuple):
-    """The unplanned end of a runner, on trio's clock."""
+    """Crash of a runner, and when it happened on trio's clock."""
 
     runner: str
     at: float
 
 
 class PlatformBed:
-    """Everything of one deployment, and hands on its faults."""
+    """Processes and stand-ins of one deployment, with methods that cause faults."""
 
     def __init__(self, nursery: trio.Nursery, seed: int = 1, duty: DutySettings | None = None) -> None:
-        """Run all parts in ``nursery``."""
+        """Run all processes in ``nursery``."""
         self.usage = UsageStandIn()
         self.clocks: dict[str, VirtualClock] = {}
         self._duty = duty
@@ -85,7 +85,7 @@
         self.network.listen(USAGE, self.usage.serve)
 
     def publish(self, document: object) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration to the store, as the operator does."""
         self.store.put(OPERATOR_TOPIC, OPERATOR_KEY, document)
 
     def add_runner(self, runner: RunnerStandIn) -> None:
@@ -98,7 +98,7 @@
         self.store.put(RUNNER_TOPIC, runner.key, runner.record)
 
     def end_runner(self, runner: RunnerStandIn) -> None:
-        """End a runner at once, with all that it runs; it is back as another start."""
+        """Crash a runner with all its requests; it restarts as a new incarnation."""
         if any(end.runner == runner.key for end in self.ended):
             return
         self.ended.append(End(runner.key, trio.current_time()))
@@ -107,12 +107,12 @@
         self._nursery.start_soon(self._bring_back, runner)
 
     def drain_runner(self, key: str) -> None:
-        """Have a runner report that it leaves; it goes on serving."""
+        """Register a runner as draining; it continues to serve."""
         self.runners[key].leaving = True
         self.store.put(RUNNER_TOPIC, key, self.runners[key].record)
 
     def drop_registration(self, key: str) -> None:
-        """Remove a runner's registration; it goes on serving."""
+        """Remove a runner's registration; it continues to serve."""
         self.store.put(RUNNER_TOPIC, key, None)
 
     def add_front(self, number: int) -> Front:
@@ -128,13 +128,13 @@
         return front
 
     def kill_front(self, name: str) -> None:
-        """End a front at once; its connections break."""
+        """Kill a front and close its listeners."""
         self._scopes[name].cancel()
         self.network.close(self.fronts[name].cfg.listen)
         self.network.close(self.fronts[name].cfg.peer_listen)
 
     def caller(self, front: str, host: str = '10.2.0.1') -> Caller:
-        """Return a caller of the front called ``front``."""
+        """Return a new caller of the front with this name."""
         return Caller(self.network.seen_from(host), self.fronts[front].cfg.listen)
 
     async def until_ready(self) -> None:
@@ -168,7 +168,7 @@
     fronts: int = 1,
     duty: DutySettings | None = None,
 ) -> AsyncIterator[PlatformBed]:
-    """Start a deployment and wait until it is ready."""
+    """Run a bench with a deployment and wait until all fronts are ready."""
     async with trio.open_nursery() as nursery:
         bed = PlatformBed(nursery, duty=duty)
         bed.publish(configuration)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/caller.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the front, and what they saw."""
+"""Stand-in for callers of a front, with their requests and answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,11 @@
 
 
 class Asked(NamedTuple):
-    """One request of a caller, who leaves after ``first_limit_s`` without an answer."""
+    """Request of a caller.
+
+    The caller disconnects at ``deadline_s``, or after ``first_limit_s`` without
+    any bytes of the answer's body, both in seconds from the start.
+    """
 
     request_id: str
     host: str
@@ -37,7 +41,7 @@
 
     @property
     def head(self) -> RequestHead:
-        """Return the request's head."""
+        """Return the head of the HTTP request."""
         headers = [
             (b'host', self.host.encode()),
             (names.REQUEST_ID, self.request_id.encode()),
@@ -45,26 +49,27 @@
             (b'content-length', str(len(self.body)).encode()),
         ]
         if self.parts:
-            listed = ','.join(f'{key}:{tokens}' for key, tokens in self.parts)
+            encoded = ','.join(f'{key}:{tokens}' for key, tokens in self.parts)
             tokens = sum(tokens for _, tokens in self.parts)
-            headers.append((names.PROMPT_PARTS, listed.encode()))
+            headers.append((names.PROMPT_PARTS, encoded.encode()))
             headers.append((names.TOKEN_COUNTS, f'{tokens},{self.output}'.encode()))
             headers.append((names.MODEL, b'm'))
         return RequestHead(self.method.encode(), self.path.encode(), (*headers, *self.extra))
 
     @property
     def expected(self) -> bytes:
-        """Return the only body that a good answer may have."""
+        """Return the body of a correct answer."""
         if not self.parts:
             return body_of(self.request_id)
         return b''.join(event_of(self.request_id, number) for number in range(1, self.output + 1))
 
 
 class Seen(NamedTuple):
-    """What came back; ``status`` is 0 if there was no answer.
+    """Answer as the caller received it; ``status`` is 0 if there was none.
 
-    ``first_s`` is when the first of the body came, ``pause_s`` the longest
-    pause after that.
+    ``first_s`` is the time from the request to the first bytes of the body,
+    ``pause_s`` the longest gap between its chunks, both in seconds. ``signed``
+    tells whether the answer has a runner's signature.
     """
 
     status: int
@@ -78,16 +83,16 @@
 
 
 class Caller:
-    """One caller with a kept connection."""
+    """Caller with one connection that is kept open."""
 
     def __init__(self, network: Network, front: Address) -> None:
-        """Call the front at ``front``."""
+        """Call the front at this address."""
         self._network = network
         self._front = front
         self._conn: ClientConn | None = None
 
     async def ask(self, asked: Asked) -> Seen:
-        """Send a request, wait for its whole answer, leave at its deadline."""
+        """Send a request and return its answer; disconnect at the time limits of the request."""
         started = trio.current_time()
         answer = _Answer(started)
         with trio.move_on_after(asked.deadline_s), answer.patience:
@@ -98,7 +103,7 @@
         return answer.seen()
 
     def leave(self) -> None:
-        """Close the connection, whatever is under way."""
+        """Close the connection, even during a request."""
         if self._conn:
             self._conn.close()
         self._conn = None
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts one way or falls silent."""
+"""TCP proxy on loopback that delays or drops bytes and resets connections."""
 
 from __future__ import annotations
 
@@ -15,12 +15,16 @@
 
 CHUNK_BYTES = 65536
 BROKEN = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
-# Closing sends a reset at once, in place of what is unsent.
+# Makes close() discard unsent bytes and send a reset.
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 
 class Fault(enum.Enum):
-    """What the proxy does to the bytes of connections."""
+    """Fault that the proxy applies to its connections.
+
+    ``silence`` drops the bytes of both directions, ``lose_answers`` those from
+    the target only.
+    """
 
     none = 'none'
     delay = 'delay'
@@ -29,50 +33,50 @@
 
 
 class FaultyProxy:
-    """Passes connections on to a target, as well as its fault lets it.
+    """Proxy that forwards connections to a target, subject to a fault.
 
-    Bytes that were swallowed never come; their connection stays silent for
-    good, as when something between two ends has lost track of it.
+    Once one direction of a connection has dropped bytes, it drops everything
+    after them, as when a middlebox has lost the state of the connection.
     """
 
     def __init__(self, target: Address) -> None:
-        """Pass on to ``target``, faultlessly at first."""
+        """Forward to ``target``, without a fault at first."""
         self.fault = Fault.none
         self.delay_s: float = 0
         self._target = target
         self._open: set[trio.SocketStream] = set()
 
     async def serve(self, caller: trio.SocketStream) -> None:
-        """Serve one connection."""
+        """Forward one connection."""
         try:
-            far = await trio.open_tcp_stream(self._target.host, self._target.port)
+            upstream = await trio.open_tcp_stream(self._target.host, self._target.port)
         except OSError:
             reset(caller)
             return
-        both = (caller, far)
+        both = (caller, upstream)
         self._open.update(both)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, caller, far, Fault.silence, nursery.cancel_scope)
-                nursery.start_soon(self._pump, far, caller, Fault.lose_answers, nursery.cancel_scope)
+                nursery.start_soon(self._pump, caller, upstream, Fault.silence, nursery.cancel_scope)
+                nursery.start_soon(self._pump, upstream, caller, Fault.lose_answers, nursery.cancel_scope)
         finally:
             self._open.difference_update(both)
             for stream in both:
                 stream.socket.close()
 
     def reset_all(self) -> None:
-        """Reset all connections that are open."""
+        """Reset all open connections."""
         for stream in tuple(self._open):
             reset(stream)
 
     async def _pump(
         self, source: trio.SocketStream, sink: trio.SocketStream, cut: Fault, scope: trio.CancelScope
     ) -> None:
-        swallows = False
+        dropping = False
         try:
             while chunk := await source.receive_some(CHUNK_BYTES):
-                swallows = swallows or self.fault in {Fault.silence, cut}
-                if swallows:
+                dropping = dropping or self.fault in {Fault.silence, cut}
+                if dropping:
                     continue
                 if self.fault is Fault.delay:
                     await trio.sleep(self.delay_s)
@@ -83,17 +87,17 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Have the far end see a reset."""
+    """Close ``stream`` with a reset."""
     try:
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     except OSError:
-        # It is closed already.
+        # Already closed.
         return
     stream.socket.close()
 
 
 async def listen(proxy: FaultyProxy, nursery: trio.Nursery) -> tuple[str, int]:
-    """Serve ``proxy`` on a free port of loopback; returns where."""
+    """Serve ``proxy`` on a free loopback port; return host and port."""
     listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
     nursery.start_soon(partial(trio.serve_listeners, proxy.serve, listeners))
     host, port = listeners[0].socket.getsockname()[:2]
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
@@ -1,4 +1,4 @@
-"""What users count of a runner that names a limit: the requests of any span of time."""
+"""Users' bound on the requests that a runner with a rate limit gets in a sliding window."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-# Users allow, in any span of so many seconds, so many times the limit and so many more.
+# The bound holds in any window of this length: the number of requests that the
+# limit allows, times a factor, plus a constant.
 SPAN_S = 4.0
 SHARE = 1.5
 MORE = 5
-# Until so long after a limit could first be known, in seconds, nothing is counted.
+# Requests are not counted for this time after a limit was first reported.
 KNOWN_S = 3.0
 
 
 class Span(NamedTuple):
-    """The requests of the span that ends at one of them."""
+    """Number of requests in the window that ends at one of them, in seconds."""
 
     until: float
     requests: int
 
 
 def bound(limit: float) -> float:
-    """Return the most requests that a runner with ``limit`` may get in a span."""
+    """Return the maximum number of requests in a window, for a limit in requests/s."""
     return SHARE * SPAN_S * limit + MORE
 
 
 def spans(times: Sequence[float]) -> Iterator[Span]:
-    """Yield the span that ends at each of ``times``, which are in order."""
+    """Yield the window that ends at each of ``times``, which are sorted."""
     for number, until in enumerate(times, start=1):
         yield Span(until, number - bisect_right(times, until - SPAN_S))
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_world.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_world.py
@@ -1,4 +1,4 @@
-"""Instances that share the limit of one runner, on a network that loses, delays and cuts, in virtual time."""
+"""Simulation of instances that share the rate limit of one runner, over a faulty network."""
 
 from __future__ import annotations
 
@@ -23,57 +23,57 @@
     from sesamepoint_core.runner_limit.words import Ask, Grant, Letter
 
 RUNNER = 'runner'
-# A request waits for a permit no longer than this, then goes elsewhere.
+# A request that has no permit after this time goes to another runner.
 PATIENCE_S = 0.3
-# An instance does not look again sooner than this, in seconds.
+# Minimum time between scheduled steps of an instance.
 LEAST_STEP_S = 0.001
-# A permit is wanted beforehand for so long after a request.
+# An instance requests one permit in advance for this time after a request.
 LATELY_S = 1.0
 ANSWER_S = 0.05
 DELAY_S = (0.001, 0.005)
-# From a start or an end of an instance until the others know of it.
+# Time until the other instances know of a start or an end of an instance.
 LISTED_S = 1.0
 START_BITS = 50
 WAITING = Rank(0, 0)
 
 
 class Way(Protocol):
-    """A way to share a limit; :class:`Sharing` is the one in use."""
+    """Strategy of one instance to share a rate limit; :class:`Sharing` is used in production."""
 
     belief: LimitBelief
 
     def join(self, others: Iterable[str]) -> None:
-        """Share with these instances."""
+        """Set the other instances that share the limit."""
 
     def wish(self, wish: Wish) -> None:
-        """Want these permits."""
+        """Set how many permits are needed, and how urgently."""
 
     def stock(self, now: float) -> int:
-        """Return how many requests may be sent."""
+        """Return how many requests may be sent now."""
 
     def take(self, now: float) -> bool:
-        """Use a permit."""
+        """Use a permit; return False if there is none."""
 
     def heard(self, sender: str, word: Ask | Grant, now: float) -> bool:
-        """Take a word of another instance."""
+        """Handle a message of another instance."""
 
     def step(self, now: float) -> list[Letter]:
-        """Return what there is to tell."""
+        """Return the messages to send."""
 
     def next_at(self, now: float) -> float:
-        """Return when a step is due."""
+        """Return when the next step is due."""
 
 
 class NewWay(Protocol):
-    """Makes the part of one instance."""
+    """Factory for the strategy of one instance."""
 
     def __call__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> Way:
-        """Know of nothing yet."""
+        """Return a strategy without any knowledge of the limit."""
 
 
 @dataclass
 class Network:
-    """What happens to words: shares that are lost, doubled, or late by seconds."""
+    """Faults of the network: shares of messages that are lost, duplicated or delayed, and cut pairs."""
 
     lost: float = 0
     doubled: float = 0
@@ -85,7 +85,11 @@
 
 
 class Arrival(NamedTuple):
-    """A request that came to the runner; ``told`` if its instance knew of the limit, or has had the time to."""
+    """Request that reached the runner.
+
+    ``told`` is True if the instance that sent it knew the limit, or was up long
+    enough to know it.
+    """
 
     at: float
     name: str
@@ -99,17 +103,17 @@
 
 
 class Instance:
-    """One instance with its requests."""
+    """Simulated instance with its requests."""
 
     def __init__(self, name: str, world: LimitWorld, rate: float) -> None:
-        """Get ``rate`` requests a second."""
+        """Start an instance that receives ``rate`` requests a second."""
         self.name = name
         self.rate = rate
         self.up = True
         self._started = world.now
         self.frozen_until: float = 0
         self._world = world
-        # Clocks of machines have nothing to do with each other.
+        # The clocks of machines have unrelated origins.
         self._clock = world.rng.uniform(0, 1000)
         self._waiting: list[float] = []
         self._inbox: list[tuple[str, Ask | Grant]] = []
@@ -120,15 +124,15 @@
         self.way = self._new_way()
 
     def now(self) -> float:
-        """Return the time on its clock."""
+        """Return the time of the instance's clock."""
         return self._world.now + self._clock
 
     def up_for_s(self) -> float:
-        """Return for how long it has been up."""
+        """Return the time since the start, in seconds."""
         return self._world.now - self._started
 
     def start_again(self) -> None:
-        """Begin anew, knowing nothing."""
+        """Restart without any state."""
         self.up = True
         self._started = self._world.now
         self._waiting.clear()
@@ -139,14 +143,14 @@
         self.way = self._new_way()
 
     def request(self) -> None:
-        """Take a request."""
+        """Handle a request of a caller."""
         if self.up:
             self._waiting.append(self._world.now)
             self._asked_at = self._world.now
             self.look()
 
     def receive(self, sender: str, word: Ask | Grant) -> None:
-        """Take a word of another instance."""
+        """Handle a message of another instance, or queue it during a freeze."""
         if not self.up:
             return
         if self._frozen():
@@ -156,7 +160,7 @@
         self.look()
 
     def wake(self) -> None:
-        """Go on after a freeze, with what came meanwhile."""
+        """Continue after a freeze and handle the queued messages."""
         inbox = self._inbox
         self._inbox = []
         for sender, word in inbox:
@@ -164,7 +168,7 @@
         self.look()
 
     def answer(self, rate: float | None, sent_at: float) -> None:
-        """Take an answer of the runner."""
+        """Handle an answer of the runner, which reports a limit or None."""
         if not self.up or self._frozen():
             return
         self._answered = True
@@ -175,20 +179,20 @@
         self.look()
 
     def look(self) -> None:
-        """Send what may be sent, and say what there is to say."""
+        """Send the requests that have permits, and the messages that are due."""
         if not self.up or self._frozen():
             return
         self._due = math.inf
         self._send_waiting()
         self.way.join(self._world.others_of(self.name))
         self.way.wish(self._wish())
-        for letter in self.way.step(self.now()):
-            self._world.tell(self.name, letter)
+        for addressed in self.way.step(self.now()):
+            self._world.tell(self.name, addressed)
         self._send_waiting()
         self._schedule()
 
     def due(self) -> None:
-        """Look if it is time."""
+        """Run a step if one is due."""
         if self._world.now >= self._due:
             self.look()
 
@@ -216,8 +220,8 @@
         return self.way.take(self.now())
 
     def _wish(self) -> Wish:
-        lately = self._world.now - self._asked_at < LATELY_S
-        wanted = max(len(self._waiting) + lately - self.way.stock(self.now()), 0)
+        recently = self._world.now - self._asked_at < LATELY_S
+        wanted = max(len(self._waiting) + recently - self.way.stock(self.now()), 0)
         return Wish(wanted, WAITING if self._waiting else NOTHING_WAITS)
 
     def _schedule(self) -> None:
@@ -230,10 +234,10 @@
 
 
 class LimitWorld:
-    """A runner with a limit before instances."""
+    """Simulation of a runner with a rate limit and the instances that send to it."""
 
     def __init__(self, seed: int, new_way: NewWay = Sharing) -> None:
-        """Draw all from ``seed``."""
+        """Start without instances; all random numbers come from ``seed``."""
         self.rng = Random(seed)
         self.now: float = 0
         self.network = Network()
@@ -241,7 +245,7 @@
         self.instances: dict[str, Instance] = {}
         self.arrivals: list[Arrival] = []
         self.limit: float | None = None
-        # What answers named, each with the moment at which the first such answer came.
+        # Limits that answers reported, each with the time of its first answer.
         self.named: list[tuple[float, float | None]] = [(0, None)]
         self._listed: dict[str, float] = {}
         self._gone: dict[str, float] = {}
@@ -249,41 +253,41 @@
         self._serial = count()
 
     def name_limit(self, rate: float | None) -> None:
-        """Have the runner name ``rate`` from now on, or none."""
+        """Set the limit that the runner reports from now on; None reports no limit."""
         self.limit = rate
 
     def add(self, name: str, rate: float = 0) -> Instance:
         """Start an instance; the others know of it a second later."""
-        found = Instance(name, self, rate)
-        self.instances[name] = found
+        added = Instance(name, self, rate)
+        self.instances[name] = added
         self._listed[name] = self.now + LISTED_S if self.now else 0
-        self.at(self.now, lambda: self._requests(found))
-        return found
+        self.at(self.now, lambda: self._requests(added))
+        return added
 
     def kill(self, name: str, back_s: float) -> None:
-        """End an instance at once; it starts again after ``back_s``."""
+        """Kill an instance; it restarts after ``back_s`` seconds."""
         self.instances[name].up = False
         self.at(self.now + back_s, self.instances[name].start_again)
 
     def remove(self, name: str) -> None:
-        """End an instance for good; the others know of it a second later."""
+        """Remove an instance for good; the others know of it a second later."""
         self.instances[name].up = False
         self._gone[name] = self.now + LISTED_S
 
     def freeze(self, name: str, for_s: float) -> None:
-        """Have an instance stand still."""
-        found = self.instances[name]
-        found.frozen_until = max(found.frozen_until, self.now + for_s)
-        self.at(found.frozen_until, found.wake)
+        """Freeze an instance for ``for_s`` seconds."""
+        frozen = self.instances[name]
+        frozen.frozen_until = max(frozen.frozen_until, self.now + for_s)
+        self.at(frozen.frozen_until, frozen.wake)
 
     def cut(self, names: Iterable[str]) -> None:
-        """Cut ``names`` off from all other instances, not from the runner."""
+        """Cut ``names`` off from all other instances, but not from the runner."""
         inside = set(names)
         outside = self.instances.keys() - inside
         self.network.cut = {frozenset((one, other)) for one in inside for other in outside}
 
     def run(self, for_s: float) -> None:
-        """Let time pass."""
+        """Run the events of the next ``for_s`` seconds."""
         until = self.now + for_s
         while self._events and self._events[0].at <= until:
             event = heapq.heappop(self._events)
@@ -292,11 +296,11 @@
         self.now = until
 
     def at(self, moment: float, act: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule a call at a time of the simulation."""
         heapq.heappush(self._events, _Event(moment, next(self._serial), act))
 
     def others_of(self, name: str) -> list[str]:
-        """Return the other instances that are listed by now."""
+        """Return the other instances that are currently listed."""
         return [
             other
             for other, since in self._listed.items()
@@ -304,7 +308,7 @@
         ]
 
     def tell(self, sender: str, letter: Letter) -> None:
-        """Send a word, which may get lost, come twice, or late."""
+        """Send a message, which may be lost, duplicated or delayed."""
         network = self.network
         network.words += 1
         if frozenset((sender, letter.to)) in network.cut or self.rng.random() < network.lost:
@@ -315,25 +319,25 @@
             self.at(self.now + self._delay_s(), deliver)
 
     def arrive(self, instance: Instance) -> None:
-        """Take a request of ``instance``, and answer it."""
+        """Handle a request of ``instance`` at the runner, and schedule the answer."""
         sent_at = instance.now()
         told = instance.way.belief.word is not None or instance.up_for_s() > KNOWN_S
         self.arrivals.append(Arrival(self.now, instance.name, told))
         self.at(self.now + ANSWER_S, lambda: self._answer(instance, sent_at))
 
     def excess(self, since: float) -> float:
-        """Return by how many requests more than users allow any span was the worst, from ``since`` on.
+        """Return by how many requests the worst window from ``since`` on exceeds the users' bound.
 
-        Not counted is what an instance sent that has just started and was told nothing yet.
+        Requests of instances that have just started and do not know the limit are not counted.
         """
         counted = spans([arrival.at for arrival in self.arrivals if arrival.told])
-        late = (span for span in counted if span.until >= since)
-        return max((span.requests - self._allowed(span.until) for span in late), default=-math.inf)
+        checked = (span for span in counted if span.until >= since)
+        return max((span.requests - self._allowed(span.until) for span in checked), default=-math.inf)
 
     def taken(self, since: float) -> float:
-        """Return the share of the limit that was taken from ``since`` on; the limit must not have changed."""
-        came = sum(arrival.at >= since for arrival in self.arrivals)
-        return came / ((self.limit or math.inf) * (self.now - since))
+        """Return the share of the limit that was used from ``since`` on; the limit must not have changed."""
+        count_since = sum(arrival.at >= since for arrival in self.arrivals)
+        return count_since / ((self.limit or math.inf) * (self.now - since))
 
     def _answer(self, instance: Instance, sent_at: float) -> None:
         if self.limit != self.named[-1][1]:
@@ -341,12 +345,12 @@
         instance.answer(self.limit, sent_at)
 
     def _allowed(self, at: float) -> float:
-        """Return what users allow in the span that ends ``at``: by the highest limit that was named in it."""
-        spans = zip(self.named, [*self.named[1:], (math.inf, None)], strict=True)
-        named = [rate for (since, rate), (until, _) in spans if until > at - SPAN_S and since <= at]
-        if None in named:
+        """Return the users' bound for the window that ends ``at``, by the highest limit reported in it."""
+        periods = zip(self.named, [*self.named[1:], (math.inf, None)], strict=True)
+        rates = [rate for (since, rate), (until, _) in periods if until > at - SPAN_S and since <= at]
+        if None in rates:
             return math.inf
-        return bound(max(rate for rate in named if rate is not None))
+        return bound(max(rate for rate in rates if rate is not None))
 
     def _delay_s(self) -> float:
         if self.rng.random() < self.network.late:
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/network.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/network.py
@@ -1,4 +1,4 @@
-"""A network in memory: delays, cuts, resets, lost datagrams."""
+"""In-memory network with delays, cut links, resets and lost datagrams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Handler = Callable[['MemoryTransport'], Awaitable[None]]
 
 ONE_WAY_S = 0.001
-# A link's queue takes what it carries in this time, in seconds.
+# Capacity of a link's queue, as the time that the link needs to send it.
 FULL_S = 0.02
 KEPT_DATAGRAMS = 10_000
 _END = None
@@ -32,31 +32,31 @@
     """One direction of a connection."""
 
     def __init__(self) -> None:
-        """Start empty and open."""
+        """Start without packets."""
         self.reset = False
         self._packets: deque[_Packet] = deque()
         self._news = trio.Event()
 
     def put(self, carried: bytes | None, delay_s: float) -> None:
-        """Let ``carried`` arrive after ``delay_s``; None is the end."""
+        """Queue a packet that arrives after ``delay_s``; None marks the end."""
         self._packets.append(_Packet(trio.current_time() + delay_s, carried))
         self._news.set()
 
     def arrived(self) -> bool:
-        """Tell whether something has arrived."""
+        """Return whether a packet or a reset has arrived."""
         return self.reset or bool(self._packets and self._packets[0].at <= trio.current_time())
 
     def ended(self) -> bool:
-        """Tell whether the end is all that has arrived."""
+        """Return whether the end has arrived with no bytes before it, or a reset."""
         return self.reset or (self.arrived() and self._packets[0].carried is _END)
 
     def break_off(self) -> None:
-        """Reset the connection."""
+        """Reset this direction of the connection."""
         self.reset = True
         self._news.set()
 
     async def take(self) -> bytes:
-        """Return the next bytes; empty at the end.
+        """Return the next bytes, or empty bytes at the end.
 
         Raises
         ------
@@ -78,10 +78,10 @@
 
 
 class MemoryTransport:
-    """One end of a connection."""
+    """Endpoint of a connection."""
 
     def __init__(self, network: MemoryNetwork, hosts: tuple[str, str], pipes: tuple[Pipe, Pipe]) -> None:
-        """Send from the first of ``hosts`` on the first of ``pipes``."""
+        """Create the endpoint at the first of ``hosts``, which sends on the first of ``pipes``."""
         self.peer = hosts[1]
         self.hosts = hosts
         self._network = network
@@ -102,47 +102,47 @@
             )
 
     async def receive_some(self, max_bytes: int) -> bytes:
-        """Return some bytes; empty at the end."""
+        """Return some bytes, or empty bytes at the end."""
         if self._closed:
             raise trio.ClosedResourceError
         return await self._receiving.take()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close this endpoint."""
         if not self._closed:
             self._sending.put(_END, self._network.delay_s(*self.hosts))
         self._closed = True
 
     def reset(self) -> None:
-        """Break the connection for both ends."""
+        """Reset the connection for both endpoints."""
         self._sending.break_off()
         self._receiving.break_off()
 
     def over(self) -> bool:
-        """Tell whether this end is closed, or the connection was reset."""
+        """Return whether this endpoint is closed or the connection was reset."""
         return self._closed or self._sending.reset
 
     def quiet(self) -> bool:
-        """Tell whether the connection is open and has no bytes waiting."""
+        """Return whether the connection is open and has no bytes to read."""
         return not self._closed and not self._receiving.arrived()
 
     def ended(self) -> bool:
-        """Tell whether the far end has closed and left nothing to read."""
+        """Return whether the connection is closed and has no bytes to read."""
         return self._closed or self._receiving.ended()
 
 
 class MemoryNetwork:
-    """All listeners, connections and datagrams of a bed."""
+    """Network of a test bench: listeners, connections and datagrams."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        """Run the listeners' connections in ``nursery``."""
+        """Run the handlers of connections in ``nursery``."""
         self.cut: set[frozenset[str]] = set()
         self.datagrams_lost = False
-        # How long a connection takes to come about.
+        # Time to establish a connection, in seconds.
         self.connect_s = 2 * ONE_WAY_S
-        # The newest datagrams, for tests of what peers get to know.
+        # The newest datagrams, for tests of the messages between peers.
         self.datagrams: deque[bytes] = deque(maxlen=KEPT_DATAGRAMS)
-        # Bytes a second that the links of some hosts carry; others' carry all.
+        # Bandwidth of the links of some hosts, in bytes/s; other links are unlimited.
         self.links: dict[str, float] = {}
         self._busy_until: dict[str, float] = {}
         self._nursery = nursery
@@ -159,19 +159,19 @@
         self._listeners.pop(address, None)
 
     def reset_all(self, host: str, far: str = '') -> None:
-        """Reset all connections of ``host`` whose far end's address begins with ``far``."""
+        """Reset all connections of ``host`` whose peer's address starts with ``far``."""
         for transport in self._open:
-            ends = transport.hosts
-            other = ends[1] if ends[0] == host else ends[0]
-            if host in ends and other.startswith(far):
+            hosts = transport.hosts
+            other = hosts[1] if hosts[0] == host else hosts[0]
+            if host in hosts and other.startswith(far):
                 transport.reset()
 
     def delay_s(self, source: str, target: str) -> float:
-        """Return how long a packet takes; for ever over a cut."""
+        """Return the delay of a packet in seconds, infinite between hosts that are cut off."""
         return math.inf if frozenset((source, target)) in self.cut else ONE_WAY_S
 
     def queue_s(self, host: str, size: int) -> float:
-        """Put ``size`` bytes into the queue of a host's link; returns how long they take."""
+        """Queue ``size`` bytes on a host's link; return the time until they are sent, in seconds."""
         rate = self.links.get(host)
         if rate is None:
             return 0
@@ -180,11 +180,11 @@
         return self._busy_until[host] - now
 
     def link_full(self, host: str) -> bool:
-        """Tell whether a datagram finds the queue of a host's link full."""
+        """Return whether the queue of a host's link is full for datagrams."""
         return self._busy_until.get(host, 0) - trio.current_time() > FULL_S
 
     def seen_from(self, host: str) -> HostNetwork:
-        """Return the network as ``host`` has it."""
+        """Return the network interface of ``host``."""
         return HostNetwork(self, host)
 
     async def connect(self, host: str, address: Address, timeout_s: float) -> MemoryTransport:
@@ -196,16 +196,16 @@
         await trio.sleep(self.connect_s)
         if handler is None:
             raise ConnectFailedError(str(address), 'refused', refused=True)
-        there, back = Pipe(), Pipe()
-        far = MemoryTransport(self, (address.host, host), (back, there))
-        self._nursery.start_soon(handler, far)
-        near = MemoryTransport(self, (host, address.host), (there, back))
+        to_server, to_client = Pipe(), Pipe()
+        server = MemoryTransport(self, (address.host, host), (to_client, to_server))
+        self._nursery.start_soon(handler, server)
+        client = MemoryTransport(self, (host, address.host), (to_server, to_client))
         self._open = [transport for transport in self._open if not transport.over()]
-        self._open.append(near)
-        return near
+        self._open.append(client)
+        return client
 
     async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Hand each datagram that comes to ``address`` to ``take``."""
+        """Call ``take`` with each datagram received at ``address``, until cancelled."""
         self._receivers[address] = take
         try:
             await trio.sleep_forever()
@@ -213,21 +213,21 @@
             self._receivers.pop(address, None)
 
     def send_datagram(self, host: str, datagram: bytes, address: Address) -> None:
-        """Deliver ``datagram`` a moment later, if nothing is in its way."""
-        take = self._receivers.get(address)
+        """Deliver ``datagram`` after the delay, unless a fault or a full queue drops it."""
+        receiver = self._receivers.get(address)
         if self.link_full(host):
             return
         self.datagrams.append(datagram)
         self.queue_s(host, len(datagram))
-        if take is not None and not self.datagrams_lost and not math.isinf(self.delay_s(host, address.host)):
-            self._nursery.start_soon(_deliver, take, datagram)
+        if receiver is not None and not self.datagrams_lost and not math.isinf(self.delay_s(host, address.host)):
+            self._nursery.start_soon(_deliver, receiver, datagram)
 
 
 class HostNetwork:
-    """The network as one host has it: connections and datagrams."""
+    """Network interface of one host, for connections and datagrams."""
 
     def __init__(self, network: MemoryNetwork, host: str) -> None:
-        """Send from ``host``."""
+        """Create the interface of ``host``."""
         self._network = network
         self._host = host
 
@@ -236,7 +236,7 @@
         return await self._network.connect(self._host, Address(*address), timeout_s)
 
     async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Hand each datagram that comes to ``address`` to ``take``."""
+        """Call ``take`` with each datagram received at ``address``, until cancelled."""
         await self._network.receive(address, take)
 
     async def send(self, datagram: bytes, address: Address) -> None:
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/processes.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/processes.py
@@ -1,4 +1,4 @@
-"""Real front processes over stand-ins on loopback addresses."""
+"""Test bench with real front processes, and stand-ins on loopback addresses."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 METRICS_PATH = '/metrics'
 POLL_S = 0.05
 CONNECT_S = 1.0
-# Faster than any real engine: the processes are on trial here, not the waits.
+# Faster than any real engine, since these tests check the processes, not latency.
 QUICK = EngineSpeed(tokens_s=2_000_000, overhead_s=0.002, step_s=0.0002, step_slot_s=0)
 SETTINGS = """node={name}
 ip={host}
@@ -61,12 +61,12 @@
 
 
 class FrontStub(NamedTuple):
-    """One front process and where it listens.
+    """Front process and its addresses.
 
     Parameters
     ----------
     log_from
-        Where in its log this start begins; earlier ones wrote what is before.
+        Offset in the log, in characters, at which the output of this start begins.
     """
 
     process: trio.Process
@@ -77,17 +77,17 @@
 
     @property
     def log(self) -> Path:
-        """Return the file that its lines go to."""
+        """Return the path of its log."""
         return log_of(self.settings)
 
     def has_started(self) -> bool:
-        """Tell whether this start has got to its first line; from then on it handles signals."""
-        written = self.log.read_text(encoding='utf-8')[self.log_from :]
-        return f'"event": {events.PROCESS_STARTED.number}' in written
+        """Return whether this start has logged its start event; from then on it handles signals."""
+        output = self.log.read_text(encoding='utf-8')[self.log_from :]
+        return f'"event": {events.PROCESS_STARTED.number}' in output
 
 
 class ProcessBed:
-    """A store and runners in this process, fronts in processes of their own."""
+    """Test bench with the store and the runners in this process, and one process for each front."""
 
     def __init__(self, nursery: trio.Nursery, folder: Path) -> None:
         """Write settings to ``folder``; listeners run in ``nursery``."""
@@ -103,7 +103,7 @@
         self._usage_address: Address | None = None
 
     async def start(self, configuration: object) -> None:
-        """Start the store with a configuration and one runner of each kind."""
+        """Start the store with a configuration, the usage service, two plain runners and two engines."""
         self.store.put(OPERATOR_TOPIC, OPERATOR_KEY, configuration)
         self._store_address = await self.serve(self.store.serve)
         self._usage_address = await self.serve(self.usage.serve)
@@ -122,7 +122,7 @@
         return front
 
     async def restart_front(self, number: int) -> FrontStub:
-        """Start the front at place ``number`` again, with the settings that it had."""
+        """Restart the front at index ``number`` with its old settings."""
         front = self.fronts[number]
         log_from = len(front.log.read_text(encoding='utf-8'))
         front = front._replace(process=await _start(front.settings), log_from=log_from)
@@ -130,19 +130,19 @@
         return front
 
     async def until_ready(self, front: FrontStub) -> None:
-        """Wait until ``front`` says that it is ready."""
+        """Wait until ``front`` reports that it is ready."""
         with trio.fail_after(START_S):
             while not await ready(front):
                 await trio.sleep(POLL_S)
 
     async def until_all_show(self, metric: str) -> None:
-        """Wait until the page of metrics of each front has a line ``metric``."""
+        """Wait until the metrics page of each front has the line ``metric``."""
         with trio.fail_after(START_S):
             while not all([await shows(front, metric) for front in self.fronts]):
                 await trio.sleep(POLL_S)
 
     async def serve(self, serve: Serve) -> Address:
-        """Serve connections on a free port of loopback; returns where fronts reach it."""
+        """Serve connections on a free loopback port; return its address."""
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
         address = Address(*listeners[0].socket.getsockname()[:2])
         self.nursery.start_soon(self._listen, serve, listeners, address)
@@ -151,7 +151,7 @@
     async def add_runner(self, service: str, stage: str | None = None) -> RunnerStandIn:
         """Start a runner and register it."""
         key = f'i-{len(self.runners)}'
-        # Where it listens is known only after it does.
+        # The address is set once the runner listens.
         runner = RunnerStandIn(key, service, Address('', 0), 'z1', stage=stage, speed=QUICK, work_s=0.005)
         runner.address = await self.serve(runner.serve)
         runner.on_end = self.end_runner
@@ -160,16 +160,16 @@
         return runner
 
     def end_runner(self, runner: RunnerStandIn) -> None:
-        """End a runner at once: its connections end, and new ones are refused."""
+        """Crash a runner: its connections break, and new ones are refused."""
         self.ended.append(runner.key)
         self._listening[runner.address].cancel()
 
     def logs(self) -> list[Path]:
-        """Return the files with all that the fronts have written."""
+        """Return the paths of the logs of all fronts."""
         return [front.log for front in self.fronts]
 
     def end(self) -> None:
-        """End the processes that were started here and still run."""
+        """Kill the front processes that still run."""
         for front in self.fronts:
             if front.process.poll() is None:
                 front.process.send_signal(signal.SIGKILL)
@@ -196,13 +196,13 @@
 
 
 async def ready(front: FrontStub) -> bool:
-    """Ask a front whether it is ready, as the platform does."""
+    """Return whether a front is ready, by its readiness page, as the platform does."""
     reply = await _page(front, READY_PATH)
     return reply is not None and reply[0].status == STATUS_OK
 
 
 async def shows(front: FrontStub, metric: str) -> bool:
-    """Tell whether a front's page of metrics has a line ``metric``."""
+    """Return whether a front's metrics page has the line ``metric``."""
     reply = await _page(front, METRICS_PATH)
     return reply is not None and metric in reply[1].decode().splitlines()
 
@@ -221,13 +221,13 @@
 
 
 def caller_of(front: FrontStub) -> Caller:
-    """Return a caller over real sockets."""
+    """Return a new caller of a front, over real sockets."""
     return Caller(SocketNetwork(), front.listen)
 
 
 @asynccontextmanager
 async def running_processes(configuration: object, folder: Path, fronts: int) -> AsyncIterator[ProcessBed]:
-    """Start a deployment of real front processes; all are ended at the end."""
+    """Run a bench with ``fronts`` front processes, which are killed at the end."""
     async with trio.open_nursery() as nursery:
         bed = ProcessBed(nursery, folder)
         try:
@@ -241,7 +241,7 @@
 
 
 def log_of(settings: Path) -> Path:
-    """Return the log of the front that has ``settings``."""
+    """Return the path of the log of the front with these settings."""
     return settings.with_suffix('.log')
 
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
@@ -1,4 +1,4 @@
-"""Runners of the platform: plain services, and engines with two stages."""
+"""Stand-in for runners: plain services, and engines for prefill or decode."""
 
 from __future__ import annotations
 
@@ -35,14 +35,19 @@
 
 
 class EngineSpeed(NamedTuple):
-    """How fast an engine is; the figures of the smaller deployment's sheet."""
+    """Performance of an engine.
+
+    The defaults are the figures of the smaller deployment's sheet. Rates are in
+    tokens/s; an event of a stream takes ``stride`` steps of ``step_s`` seconds,
+    plus ``step_slot_s`` for each running request.
+    """
 
     tokens_s: float = 112_000.0
     overhead_s: float = 0.031
     step_s: float = 0.0034
     step_slot_s: float = 0.0001
     stride: int = 10
-    # Taking parts over from another engine: 370 Gbit/s, 18 KB a token.
+    # Transfer of prefix blocks from another engine: 370 Gbit/s, 18 KB a token.
     fetch_s: float = 0.025
     fetch_tokens_s: float = 2_500_000.0
     kv_tokens: int = 548_319
@@ -51,7 +56,7 @@
 
 @dataclass
 class Run:
-    """What a runner saw of one request."""
+    """Run of one request at a runner."""
 
     request_id: str
     message: Message
@@ -62,7 +67,10 @@
 
 
 class Told(NamedTuple):
-    """A runner's word in an answer to ``sender``; ``rest_s`` is 0 if it has asked for no rest."""
+    """Status that a runner reported in an answer to the host ``sender``.
+
+    ``rest_s`` is the requested back-off in seconds, 0 without one.
+    """
 
     at: float
     sender: str
@@ -73,14 +81,14 @@
 
 @dataclass
 class Faults:
-    """What a runner does wrong while these are set."""
+    """Current faults of a runner."""
 
     rejects: bool = False
     fails: bool = False
     hangs: bool = False
     breaks_at_event: int | None = None
     breaks_before_answer: bool = False
-    # Share of the requests that run and whose answers are lost, as a reset.
+    # Share of the requests that run but whose connection is reset before the answer.
     loses: float = 0
     answers_twice: bool = False
     unsigned: bool = False
@@ -88,7 +96,7 @@
 
 @dataclass
 class RunnerStandIn:
-    """One runner; ``stage`` is None for a plain service."""
+    """Stand-in for a runner; ``stage`` is None for a plain service."""
 
     key: str
     service: str
@@ -101,36 +109,36 @@
     leaving: bool = False
     tells_kept: bool = True
     born_ms: int = 0
-    # The engines that this one can fetch from, by address.
+    # Runners from which this one can fetch prefix blocks, by address.
     others: dict[str, RunnerStandIn] = field(default_factory=dict)
-    # The texts that its answers name as its limit, one header each.
+    # Values of the rate limit headers in its answers.
     names_limit: tuple[bytes, ...] = ()
-    # The texts that its answers have as the word that it leaves, one header each.
+    # Values of the draining headers in its answers.
     says_leaving: tuple[bytes, ...] = ()
-    # The texts with which it asks for rest where it turns requests away, one header each.
+    # Values of the back-off headers in answers that reject a request.
     asks_rest: tuple[bytes, ...] = ()
-    # The only host that it turns away while it does; all if it is empty.
+    # Host whose requests the fault ``rejects`` applies to; empty for all hosts.
     rejects_from: str = ''
-    # The words of that kind that it has said.
+    # Reports of draining or back-off that were sent.
     told: list[Told] = field(default_factory=list)
-    # When requests of any kind came, looks at what it keeps and frees of memory included.
+    # Arrival times of all requests, including inventory calls and releases of KV handles.
     arrivals: list[float] = field(default_factory=list)
-    # The id of each, empty if no caller has asked for it.
+    # Their ids, empty for requests that no caller sent.
     requests: list[str] = field(default_factory=list)
-    # The host that sent each of them.
+    # Their sending hosts.
     senders: list[str] = field(default_factory=list)
-    # When it answered that it is not the one that a request was for.
+    # Arrival times of requests that were rejected as meant for another incarnation.
     misdirected_at: set[float] = field(default_factory=set)
-    # When it got a look at what it keeps, or a free of memory, which no caller has asked for.
+    # Arrival times of inventory calls and releases of KV handles that no caller sent.
     besides_at: set[float] = field(default_factory=set)
-    # A request with this in its body ends the runner when it begins to run it.
+    # A request whose body contains these bytes crashes the runner when it starts to run.
     ends_on: bytes = b''
-    # Called when such a request begins to run.
+    # Called when such a request starts to run.
     on_end: Callable[[RunnerStandIn], None] | None = None
     runs: list[Run] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Start idle."""
+        """Start without requests."""
         self.cache = CacheModel(self.speed.kv_tokens)
         self.running = 0
         self.misdirected = 0
@@ -143,7 +151,7 @@
 
     @property
     def record(self) -> dict[str, object]:
-        """Return its registration as the platform's store has it."""
+        """Return its registration, as stored in the platform's store."""
         found: dict[str, object] = {
             'service': self.service,
             'address': str(self.address),
@@ -159,11 +167,11 @@
         return {**found, 'stage': self.stage, 'models': [{'name': 'm', 'version': 1}]} if self.stage else found
 
     def arrived(self, since: float, until: float) -> int:
-        """Return how many requests came from ``since`` until before ``until``."""
+        """Return how many requests arrived from ``since`` until before ``until``."""
         return bisect_left(self.arrivals, until) - bisect_left(self.arrivals, since)
 
     def start_again(self, born_ms: int) -> None:
-        """Begin anew under the same key: nothing kept, nothing known."""
+        """Restart under the same key, with an empty cache and no KV handles."""
         self.born_ms = born_ms
         self.cache = CacheModel(self.speed.kv_tokens)
         self._handles = {}
@@ -190,9 +198,9 @@
             return
         if message.head.target == names.KV_LIST_PATH.encode():
             self.listings += 1
-            kept = [['', part.key, part.tokens, 'm'] for part in self.cache.kept]
-            told = {'epoch': 1, 'next_token': 0, 'held': kept}
-            body = msgspec.json.encode({**told, 'born': self.born_ms} if self.born_ms else told)
+            held = [['', part.key, part.tokens, 'm'] for part in self.cache.kept]
+            inventory = {'epoch': 1, 'next_token': 0, 'held': held}
+            body = msgspec.json.encode({**inventory, 'born': self.born_ms} if self.born_ms else inventory)
             status = STATUS_OK if self.tells_kept and not self.faults.rejects else STATUS_UNAVAILABLE
             await conn.whole(status, self._words(transport, status), body)
             return
@@ -243,7 +251,7 @@
         return await self._answer_prompt(conn, run, transport)
 
     async def _end_if_harmful(self, run: Run) -> None:
-        """End this runner, with all that it runs, if ``run`` is what does that."""
+        """Crash this runner with all its requests if ``run`` is a poison request."""
         if self.ends_on and self.ends_on in run.message.body and self.on_end is not None:
             self.on_end(self)
             await trio.sleep_forever()
@@ -281,25 +289,25 @@
         await conn.whole(STATUS_OK, self._echo(run.message, transport), body)
 
     async def _fetch(self, message: Message, parts: list[Part]) -> None:
-        """Take over what another engine keeps of ``parts`` beyond what is kept here."""
-        told = header(message.head.headers, names.KV_FETCH)
-        source = self.others.get(told.decode()) if told else None
+        """Fetch the prefix blocks that another engine has cached and this one has not."""
+        address = header(message.head.headers, names.KV_FETCH)
+        source = self.others.get(address.decode()) if address else None
         if source is None:
             return
-        there = source.cache.cached(parts)
-        fetched = there - self.cache.cached(parts)
-        if fetched <= 0:
+        cached_tokens = source.cache.cached(parts)
+        fetched_tokens = cached_tokens - self.cache.cached(parts)
+        if fetched_tokens <= 0:
             return
-        await trio.sleep(self.speed.fetch_s + fetched / self.speed.fetch_tokens_s)
-        self.cache.touch(_head_of(parts, there))
+        await trio.sleep(self.speed.fetch_s + fetched_tokens / self.speed.fetch_tokens_s)
+        self.cache.touch(_head_of(parts, cached_tokens))
 
     async def _read(self, parts: list[Part]) -> None:
         slowdown = 2 if self.stage == 'decode' else 1
         async with self._reading:
-            fresh = sum(part.tokens for part in parts) - self.cache.cached(parts)
-            read_s = slowdown * fresh / self.speed.tokens_s
-            await trio.sleep(read_s)
-            self._read_s += read_s
+            uncached_tokens = sum(part.tokens for part in parts) - self.cache.cached(parts)
+            prefill_s = slowdown * uncached_tokens / self.speed.tokens_s
+            await trio.sleep(prefill_s)
+            self._read_s += prefill_s
         await trio.sleep(self.speed.overhead_s)
 
     async def _stream(self, conn: ServerConn, run: Run, output: int, transport: Transport) -> None:
@@ -317,26 +325,26 @@
         return None
 
     async def _steps(self) -> None:
-        """Generate the tokens of one event; what is read meanwhile comes between them."""
-        read_before_s = self._read_s
+        """Generate the tokens of one event; concurrent prefill delays them by its duration."""
+        earlier_prefill_s = self._read_s
         await trio.sleep(self.speed.stride * (self.speed.step_s + self.speed.step_slot_s * self.running))
-        await trio.sleep(self._read_s - read_before_s)
+        await trio.sleep(self._read_s - earlier_prefill_s)
 
     def _echo(self, message: Message, transport: Transport, status: int = STATUS_OK) -> Headers:
         request_id = header(message.head.headers, names.REQUEST_ID) or b''
         return ((names.REQUEST_ID, request_id), *self._words(transport, status, request_id.decode()))
 
     def _words(self, transport: Transport, status: int = STATUS_OK, request: str = '') -> Headers:
-        """Return what an answer says of this runner."""
-        rest = self.asks_rest if status == STATUS_UNAVAILABLE else ()
-        if self.says_leaving or rest:
+        """Return the status headers of an answer, and record a report of draining or back-off."""
+        back_off = self.asks_rest if status == STATUS_UNAVAILABLE else ()
+        if self.says_leaving or back_off:
             self.told.append(
-                Told(trio.current_time(), transport.peer, bool(self.says_leaving), _longest(rest), request)
+                Told(trio.current_time(), transport.peer, bool(self.says_leaving), _longest(back_off), request)
             )
         return (
             *((names.RUNNER_LIMIT, text) for text in self.names_limit),
             *((names.RUNNER_LEAVING, text) for text in self.says_leaving),
-            *((names.RETRY_AFTER, text) for text in rest),
+            *((names.RETRY_AFTER, text) for text in back_off),
         )
 
     def _signed(self, message: Message, transport: Transport) -> Headers:
@@ -346,35 +354,35 @@
 
 
 def _longest(texts: tuple[bytes, ...]) -> float:
-    """Return the most seconds that ``texts`` ask for."""
+    """Return the longest back-off that the header values request, in seconds."""
     return max((float(text) for text in texts if text.isdigit()), default=0)
 
 
 def body_of(request_id: str) -> bytes:
-    """Return the body that any runner of a plain service answers."""
+    """Return the body of the answer of any plain runner."""
     return f'answer to {request_id}'.encode()
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return one event of the stream of an answer."""
     return f'id: {number}\ndata: {request_id} {number}\n\n'.encode()
 
 
 def _prompt(message: Message) -> tuple[list[Part], int]:
     counts = header(message.head.headers, names.TOKEN_COUNTS) or b'0,0'
-    listed = (header(message.head.headers, names.PROMPT_PARTS) or b'').decode()
-    entries = [entry.partition(':') for entry in listed.split(',') if entry]
-    return [Part(key, int(tokens)) for key, _, tokens in entries], int(counts.split(b',')[1])
+    encoded = (header(message.head.headers, names.PROMPT_PARTS) or b'').decode()
+    blocks = [block.partition(':') for block in encoded.split(',') if block]
+    return [Part(key, int(tokens)) for key, _, tokens in blocks], int(counts.split(b',')[1])
 
 
 def _head_of(parts: list[Part], tokens: int) -> list[Part]:
-    """Return the first of ``parts``, as many as ``tokens`` cover."""
+    """Return the leading prefix blocks that ``tokens`` tokens cover completely."""
     ends = accumulate(part.tokens for part in parts)
     return [part for part, end in zip(parts, ends, strict=True) if end <= tokens]
 
 
 def _reset(transport: Transport) -> None:
-    """Break the connection where it can be broken."""
+    """Reset the connection if it is in memory."""
     if isinstance(transport, MemoryTransport):
         transport.reset()
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/store.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: logs, and the newest record of each key."""
+"""Stand-in for the platform's store: a log and the newest record of each key, by topic."""
 
 from __future__ import annotations
 
@@ -57,49 +57,50 @@
         self.news = trio.Event()
 
     def newest(self) -> dict[str, tuple[int, _Record]]:
-        found: dict[str, tuple[int, _Record]] = {}
+        newest_by_key: dict[str, tuple[int, _Record]] = {}
         for offset, record in enumerate(self.records):
-            found[record.key] = (offset, record)
-        return {key: pair for key, pair in found.items() if pair[1].text}
+            newest_by_key[record.key] = (offset, record)
+        return {key: pair for key, pair in newest_by_key.items() if pair[1].text}
 
 
 class PlatformStore:
-    """Serves the calls that the system makes; ``down`` answers none well."""
+    """Store that serves the calls that the system makes; while ``down``, all calls get an error."""
 
     def __init__(self) -> None:
-        """Start empty and up."""
+        """Start empty and available."""
         self.down = False
+        # Delay added to each call, in seconds.
         self.slow_s: float = 0
-        # Seconds more for calls about some topics.
+        # Further delay of calls for some topics, in seconds.
         self.slow_topics: dict[str, float] = {}
         self.calls = 0
         self.era = 1
-        # Names of hosts that it turns away.
+        # Hosts whose calls get an error.
         self.refused: set[str] = set()
         self._topics: dict[str, _Topic] = {}
 
     def put(self, topic: str, key: str, document: object) -> None:
-        """Write as an operator or a runner does; None drops the key."""
+        """Write a document as an operator or a runner does; None deletes the key."""
         self.put_raw(topic, key, b'' if document is None else msgspec.json.encode(document))
 
     def put_raw(self, topic: str, key: str, text: bytes) -> None:
-        """Write bytes under ``key`` as a foreign writer does."""
+        """Write arbitrary bytes under ``key``, as a foreign writer may."""
         self._topic(topic).append(_Record(key, text, trio.current_time()))
 
     def go_back(self, span_s: float) -> None:
-        """Come back from a copy that lacks what was written in the last ``span_s``."""
+        """Start a new epoch from a backup without the records of the last ``span_s`` seconds."""
         self.era += 1
         for topic in self._topics.values():
             topic.go_back(trio.current_time() - span_s)
 
     def newest_of(self, topic: str) -> dict[str, bytes]:
-        """Return the newest text of each key."""
+        """Return the newest bytes of each key."""
         return {key: pair[1].text for key, pair in self._topic(topic).newest().items()}
 
     def compact(self, topic: str) -> None:
-        """Forget the records of ``topic`` but the newest of each key."""
-        found = self._topic(topic)
-        found.first = len(found.records)
+        """Compact ``topic``: reads from earlier offsets fail, the newest record of each key stays."""
+        compacted = self._topic(topic)
+        compacted.first = len(compacted.records)
 
     async def serve(self, transport: Transport) -> None:
         """Serve one connection."""
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/usage.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/usage.py
@@ -1,4 +1,4 @@
-"""Who takes reports on use, and what they must keep to; clocks that run on virtual time."""
+"""Stand-in for the service that receives usage reports, checks of the reports, and virtual clocks."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 STATUS_OK = 200
 STATUS_UNAVAILABLE = 503
 ANSWER_S = 0.004
-# The time of day at which virtual time begins, in seconds since 1970.
+# Time of day at the start of virtual time, in seconds since 1970.
 BEGAN_S = 1_800_000_000
 
 
 class VirtualClock:
-    """Clocks of one machine, whose time of day may be off."""
+    """Clocks of one machine; the time of day can have an offset, in seconds."""
 
     def __init__(self) -> None:
-        """Be right."""
+        """Start without an offset."""
         self.off_s: float = 0
 
     def steady(self) -> float:
-        """Return trio's time."""
+        """Return trio's time, in seconds."""
         return trio.current_time()
 
     def time_of_day(self) -> float:
-        """Return the seconds since 1970 as this machine has them."""
+        """Return the time of day of this machine, in seconds since 1970."""
         return BEGAN_S + trio.current_time() + self.off_s
 
 
 class Reported(NamedTuple):
-    """A report as it came."""
+    """Usage report as received."""
 
     at: float
     holder: str
@@ -49,23 +49,23 @@
 
     @property
     def window(self) -> int:
-        """Return the window that it is about."""
+        """Return the number of the window that is reported."""
         return int(msgspec.json.decode(self.body)['window'])
 
     @property
     def counts(self) -> dict[str, int]:
-        """Return its counts."""
+        """Return the reported counts."""
         return dict(msgspec.json.decode(self.body)['counts'])
 
 
 class UsageStandIn:
-    """Takes reports, and fails as it is told to."""
+    """Service that receives usage reports, with faults set by tests."""
 
     def __init__(self) -> None:
-        """Take everything at once."""
+        """Start without reports and faults."""
         self.came: list[Reported] = []
         self.refuses = False
-        # Takes reports and lets its answers wait for so long, in seconds.
+        # Delay of the answer to a report that was stored, in seconds.
         self.slow_s: float = 0
 
     async def serve(self, transport: Transport) -> None:
@@ -81,11 +81,15 @@
             transport.close()
 
     def counts(self) -> dict[int, dict[str, int]]:
-        """Return what was reported, by window."""
+        """Return the reported counts by window."""
         return {one.window: one.counts for one in self.came}
 
     def broken(self, turns_s: float) -> list[str]:
-        """Return what holders must not do and have done."""
+        """Return the violations by holders of the duty.
+
+        These are different counts for one window, fencing numbers that decrease or
+        have two holders, and holders that alternate within ``turns_s`` seconds.
+        """
         return [*self._differing(), *self._fences(), *self._turns(turns_s)]
 
     async def _take(self, message: Message) -> int:
@@ -102,7 +106,7 @@
         seen: dict[int, bytes] = {}
         for one in self.came:
             if seen.setdefault(one.window, one.body) != one.body:
-                yield f'window {one.window} was reported twice, with other counts'
+                yield f'window {one.window} was reported twice with different counts'
 
     def _fences(self) -> Iterator[str]:
         highest = -1
@@ -111,15 +115,15 @@
             if one.fence < highest:
                 yield f'fencing number {one.fence} after {highest}'
             if holder_of.setdefault(one.fence, one.holder) != one.holder:
-                yield f'fencing number {one.fence} of two holders'
+                yield f'fencing number {one.fence} has two holders'
             highest = max(highest, one.fence)
 
     def _turns(self, turns_s: float) -> Iterator[str]:
         for index, last in enumerate(self.came):
-            since = [one for one in self.came[:index] if one.at > last.at - turns_s]
-            mine = [place for place, one in enumerate(since) if one.holder == last.holder]
-            if mine and any(one.holder != last.holder for one in since[mine[0] :]):
-                yield f'two holders took turns before {last.at}'
+            recent = [one for one in self.came[:index] if one.at > last.at - turns_s]
+            same_holder = [position for position, one in enumerate(recent) if one.holder == last.holder]
+            if same_holder and any(one.holder != last.holder for one in recent[same_holder[0] :]):
+                yield f'two holders alternated before {last.at}'
 
 
 __all__ = ('BEGAN_S', 'Reported', 'UsageStandIn', 'VirtualClock')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/virtual_time.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""Running on virtual time, the same way every time."""
+"""Deterministic runs in virtual time."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def run_virtual(main: Callable[..., Awaitable[ResultT]], *arguments: object, seed: int = 1) -> ResultT:
-    """Run ``main`` on a clock that jumps over idle time.
+    """Run ``main`` on a clock that skips idle time, deterministically for a seed.
 
-    trio shuffles the tasks that are ready at the same moment, from a source
-    that is seeded anew in each process. A run that found a failure could
-    then not be repeated, and two runs of one experiment would differ. The
-    switch and the source are the ones that trio keeps for such tests.
+    trio shuffles the tasks that are ready at the same time with a random
+    generator that is seeded differently in each process, so failures could not
+    be reproduced and two runs of one experiment would differ. trio provides
+    the private switch and generator used here for such tests.
     """
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     scheduler._r.seed(seed)
@@ -29,7 +29,7 @@
 
 
 def quiet_logs() -> None:
-    """Write no lines of the program: thousands a run, and nobody reads them."""
+    """Disable the log output of ``sesamepoint``, thousands of lines a run."""
     logger = logging.getLogger('sesamepoint')
     logger.addHandler(logging.NullHandler())
     logger.propagate = False
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/web.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/web.py
@@ -1,4 +1,4 @@
-"""The stand-ins' HTTP faces, as ASGI applications."""
+"""ASGI applications that serve the stand-ins over HTTP."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Call(NamedTuple):
-    """One HTTP call to a stand-in."""
+    """HTTP request to a stand-in."""
 
     method: str
     path: str
@@ -39,14 +39,14 @@
 
 
 class Answer(NamedTuple):
-    """A whole reply."""
+    """Complete HTTP response."""
 
     status: int
     body: bytes
 
 
 class CompletionCall(msgspec.Struct):
-    """The fields of a completion that the engine reads."""
+    """Fields of a completion request that the engine uses."""
 
     prompt: str
     prompt_tokens: int
@@ -58,14 +58,14 @@
 
 
 class OrderCall(msgspec.Struct):
-    """An order to the engine."""
+    """Order to change the role of the engine."""
 
     role: str
     fence: int
 
 
 async def read_call(scope: dict[str, Any], receive: Receive) -> Call:
-    """Return the call of an ASGI scope."""
+    """Read the request of an ASGI scope with its whole body."""
     body = b''
     more = True
     while more:
@@ -76,22 +76,22 @@
 
 
 async def send_answer(send: Send, answer: Answer) -> None:
-    """Send a whole reply."""
+    """Send a complete response."""
     headers = [(b'content-length', str(len(answer.body)).encode()), (b'content-type', b'application/json')]
     await send({'type': 'http.response.start', 'status': answer.status, 'headers': headers})
     await send({'type': 'http.response.body', 'body': answer.body})
 
 
 class PlatformApp:
-    """The log and the list of instances behind one address."""
+    """Application for the log and the list of instances."""
 
     def __init__(self, log: MemoryLog, instances: MemoryInstances) -> None:
-        """Serve both."""
+        """Serve ``log`` and ``instances``."""
         self._log = log
         self._instances = instances
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Answer one ASGI scope."""
+        """Answer one request."""
         call = await read_call(scope, receive)
         try:
             answer = await self._answer(call)
@@ -113,14 +113,14 @@
 
 
 class EngineApp:
-    """One engine behind one address."""
+    """Application for one engine."""
 
     def __init__(self, engine: Engine) -> None:
         """Serve ``engine``."""
         self._engine = engine
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Answer one ASGI scope."""
+        """Answer one request."""
         call = await read_call(scope, receive)
         if call.path == '/v1/completions':
             await self._complete(call, send)
@@ -158,23 +158,23 @@
         headers = [(b'content-type', b'text/event-stream')]
         await send({'type': 'http.response.start', 'status': STATUS_OK, 'headers': headers})
         tokens = 0
-        async for piece in self._engine.submit(req):
-            tokens += piece.count(' ')
-            event = TOKEN_EVENT % msgspec.json.encode(piece)
+        async for text in self._engine.submit(req):
+            tokens += text.count(' ')
+            event = TOKEN_EVENT % msgspec.json.encode(text)
             await send({'type': 'http.response.body', 'body': event, 'more_body': True})
         end = DONE_EVENT if tokens == body.max_tokens else b''
         await send({'type': 'http.response.body', 'body': end})
 
 
 class PlainApp:
-    """A plain service that echoes, and counts what it ran."""
+    """Application for a plain service that describes and records each request."""
 
     def __init__(self) -> None:
-        """Start with nothing run."""
+        """Start without requests."""
         self.runs: list[str] = []
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Answer one ASGI scope."""
+        """Answer one request."""
         call = await read_call(scope, receive)
         self.runs.append(f'{call.method} {call.path}')
         body = {'method': call.method, 'path': call.path, 'bytes': len(call.body)}
--- a/tests/standins/test_virtual_time.py
+++ b/tests/standins/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs on virtual time repeat themselves."""
+"""Tests of deterministic runs in virtual time."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class RepeatTest(TestCase):
-    """One seed, one course of events."""
+    """Runs with the same seed."""
 
     def test_trial_repeats(self) -> None:
-        # Two runs of one experiment differed in a few answers: trio shuffles
-        # tasks that are ready together, from a source nobody had seeded.
+        # Guards against two runs of one experiment that differ in a few answers,
+        # because trio shuffles tasks that are ready at the same time with a random
+        # generator that was not seeded.
         trial = trial_of('himal', 'swing-2min', 'default', 3)
         trial.scenario['duration_s'] = 60.0
         first, second = (run_trial(trial) for _ in range(2))
--- a/tests/standins/test_web.py
+++ b/tests/standins/test_web.py
@@ -1,4 +1,4 @@
-"""The stand-ins' HTTP faces."""
+"""Tests of the ASGI applications of the stand-ins."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def post(app: EngineApp, path: str, body: bytes) -> int:
-    """Call an application and return the status."""
+    """Send a POST request to an application and return the status."""
     sent: list[dict[str, Any]] = []
 
     async def receive() -> dict[str, Any]:
@@ -30,12 +30,12 @@
 
 
 class EngineAppTest(TestCase):
-    """Orders over HTTP."""
+    """Orders of role changes over HTTP."""
 
     def test_order_over_http(self) -> None:
-        # The demo's role changes were all refused: the body of an order was
-        # decoded as a type that JSON objects do not fit, so every order over
-        # sockets failed while those in memory worked.
+        # Guards against refusing every order over sockets, as in the demo, while
+        # orders in memory work: the body was decoded as a type that does not
+        # accept JSON objects.
         engine = Engine('mixed', checks_fencing=True)
         self.assertEqual(post(EngineApp(engine), '/orders', b'{"role": "decode", "fence": 5}'), 200)
         self.assertEqual(engine.orders, [('decode', 5)])
