--- a/packages/sesamepoint-standins/src/sesamepoint_standins/bed.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/bed.py
@@ -200,17 +200,19 @@
 
     def _connect(self, entry: str, zone: str, address: str, gate: Gate) -> MemoryLink:
         runner, cfg = next(
-            (name, found) for name, found in self.configuration['runners'].items() if found['agent'] == address
+            (name, runner_cfg)
+            for name, runner_cfg in self.configuration['runners'].items()
+            if runner_cfg['agent'] == address
         )
         delay_s = SAME_ZONE_S if cfg['availability_zone'] == zone else OTHER_ZONE_S
         wire = self.wires.setdefault((entry, runner), Wire(delay_s))
         return MemoryLink(address, wire, lambda: self._host(runner), gate)
 
     def _host(self, runner: str) -> Host | None:
-        living = self.agents.get(runner)
-        if living is None or living.nursery is None or living.scope.cancel_called:
+        process = self.agents.get(runner)
+        if process is None or process.nursery is None or process.scope.cancel_called:
             return None
-        return Host(living.agent, living.gate, living.nursery)
+        return Host(process.agent, process.gate, process.nursery)
 
 
 __all__ = ('Bed', 'BedAgent', 'BedEntry')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -115,24 +115,24 @@
         self.runs[req.name] = self.runs.get(req.name, 0) + 1
         self.runs_by_seed[req.seed] = self.runs_by_seed.get(req.seed, 0) + 1
         self._waiting.append(_Running(req, max(req.prompt_tokens - cached, 1), sender))
-        self._waiting.sort(key=lambda found: -found.req.priority)
+        self._waiting.sort(key=lambda active: -active.req.priority)
         self._arrived.set_off()
         return receiver
 
     def cancel(self, name: str) -> None:
         """Drop a waiting or running request."""
-        for found in self._inside(name):
-            queue = self._waiting if found in self._waiting else self._running
-            queue.remove(found)
-            found.out.close()
+        for active in self._inside(name):
+            queue = self._waiting if active in self._waiting else self._running
+            queue.remove(active)
+            active.out.close()
             self._arrived.set_off()
 
     def load(self) -> UpstreamLoad:
         """Return the delayed load report; ``role`` and ``changing`` are current."""
         self._snapshot()
         horizon = trio.current_time() - model.REPORT_LAG_S - self.report_extra_lag_s
-        old = [load for made_at, load in self._reports if made_at <= horizon]
-        load = old[-1] if old else self._reports[0][1]
+        visible = [load for made_at, load in self._reports if made_at <= horizon]
+        load = visible[-1] if visible else self._reports[0][1]
         return load._replace(role=self.role, changing=self.changing)
 
     def order(self, role: str, fence: int) -> None:
@@ -197,40 +197,40 @@
         self._snapshot()
 
     def _plan_chunk(self, profile: model.Profile) -> list[tuple[_Running, int]]:
-        left = profile.chunk_tokens
+        budget = profile.chunk_tokens
         chunk = []
-        for found in self._waiting[: max(profile.max_running - len(self._running), 0)]:
-            part = min(found.prefill_left, left)
-            if part:
-                chunk.append((found, part))
-            left -= part
+        for active in self._waiting[: max(profile.max_running - len(self._running), 0)]:
+            tokens = min(active.prefill_left, budget)
+            if tokens:
+                chunk.append((active, tokens))
+            budget -= tokens
         return chunk
 
     async def _mixed_step(self, chunk: list[tuple[_Running, int]]) -> None:
         decoding = list(self._running)
-        tokens = sum(part for _, part in chunk)
-        one_s = model.step_s(tokens, len(decoding))
-        self._note_step(one_s, 1)
-        await trio.sleep(one_s * self.slowdown)
-        for found, part in chunk:
-            found.prefill_left -= part
-            if not found.prefill_left and found in self._waiting:
-                self._waiting.remove(found)
-                self._running.append(found)
-                self._remember_prefix(found.req)
-                found.produce(1, self._flush_tokens)
+        chunk_tokens = sum(tokens for _, tokens in chunk)
+        step_s = model.step_s(chunk_tokens, len(decoding))
+        self._note_step(step_s, 1)
+        await trio.sleep(step_s * self.slowdown)
+        for active, tokens in chunk:
+            active.prefill_left -= tokens
+            if not active.prefill_left and active in self._waiting:
+                self._waiting.remove(active)
+                self._running.append(active)
+                self._remember_prefix(active.req)
+                active.produce(1, self._flush_tokens)
         self._produce(decoding, 1)
 
     async def _decode_steps(self) -> None:
         decoding = list(self._running)
         self._note_step(model.step_s(0, len(decoding)), MAX_STEPS)
-        one_s = model.step_s(0, len(decoding)) * self.slowdown
-        steps = min(MAX_STEPS, min(found.output_left for found in decoding))
+        step_s = model.step_s(0, len(decoding)) * self.slowdown
+        steps = min(MAX_STEPS, min(active.output_left for active in decoding))
         started = trio.current_time()
-        if await self._arrived.wait_at_most(steps * one_s):
-            whole = int((trio.current_time() - started) / one_s) + 1
-            steps = min(steps, whole)
-            await trio.sleep(max(started + steps * one_s - trio.current_time(), 0))
+        if await self._arrived.wait_at_most(steps * step_s):
+            started_steps = int((trio.current_time() - started) / step_s) + 1
+            steps = min(steps, started_steps)
+            await trio.sleep(max(started + steps * step_s - trio.current_time(), 0))
         self._produce(decoding, steps)
 
     def _note_step(self, one_s: float, steps: int) -> None:
@@ -239,9 +239,9 @@
         self._step_s += weight * (one_s - self._step_s)
 
     def _produce(self, decoding: list[_Running], steps: int) -> None:
-        for found in decoding:
-            if found in self._running:
-                found.produce(steps, self._flush_tokens)
+        for active in decoding:
+            if active in self._running:
+                active.produce(steps, self._flush_tokens)
         done = [ended for ended in self._running if not ended.output_left]
         for finished in done:
             self._running.remove(finished)
@@ -268,7 +268,7 @@
 
     def _inside(self, name: str = '') -> list[_Running]:
         inside = [*self._waiting, *self._running]
-        return [found for found in inside if name in {found.req.name, ''}]
+        return [active for active in inside if name in {active.req.name, ''}]
 
     def _snapshot(self, *, idle: bool = False) -> None:
         now = trio.current_time()
@@ -279,8 +279,8 @@
         load = UpstreamLoad(
             role=self.role,
             changing=self.changing,
-            waiting_tokens=sum(found.prefill_left for found in self._waiting),
-            urgent_tokens=sum(found.prefill_left for found in self._waiting if found.req.priority),
+            waiting_tokens=sum(active.prefill_left for active in self._waiting),
+            urgent_tokens=sum(active.prefill_left for active in self._waiting if active.req.priority),
             waiting=len(self._waiting),
             running=running,
             prefill_rate=model.prefill_rate(self.role, running) / self.slowdown,
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/log.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/log.py
@@ -61,8 +61,8 @@
         """
         await self._enter(self._append_s)
         self._count_append()
-        kept = self._stream(stream)
-        offset = kept.append(payload)
+        stored = self._stream(stream)
+        offset = stored.append(payload)
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
             raise PlatformUnavailableError('log', 'reply lost')
@@ -71,11 +71,11 @@
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
         """Return records from ``start`` on; wait at most ``wait_s`` for the first."""
         await self._enter(0)
-        kept = self._stream(stream)
-        if kept.end <= start and wait_s > 0:
-            await kept.grown.wait_at_most(wait_s)
+        stored = self._stream(stream)
+        if stored.end <= start and wait_s > 0:
+            await stored.grown.wait_at_most(wait_s)
             await self._enter(0)
-        return kept.page(start)
+        return stored.page(start)
 
     def trim(self, stream: str, before: int) -> None:
         """Drop the records of ``stream`` before an offset."""
@@ -120,16 +120,16 @@
     def page(self, start: int) -> LogPage:
         """Return the records from ``start`` on."""
         first = max(start - self._earliest, 0)
-        found = self._records[first : first + PAGE_RECORDS]
+        payloads = self._records[first : first + PAGE_RECORDS]
         offsets = range(self._earliest + first, self.end)
-        records = tuple(LogRecord(offset, payload) for offset, payload in zip(offsets, found, strict=False))
+        records = tuple(LogRecord(offset, payload) for offset, payload in zip(offsets, payloads, strict=False))
         return LogPage(records, self._earliest, self.end)
 
     def trim(self, before: int) -> None:
         """Drop records before an offset."""
-        gone = min(max(before - self._earliest, 0), len(self._records))
-        self._records = self._records[gone:]
-        self._earliest += gone
+        dropped = min(max(before - self._earliest, 0), len(self._records))
+        self._records = self._records[dropped:]
+        self._earliest += dropped
 
 
 class Listed(NamedTuple):
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
@@ -86,27 +86,27 @@
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
         """Cancel an attempt."""
-        reply: CancelReply = await self._call(lambda host: host.handler.cancel(req))
+        reply: CancelReply = await self._call(lambda endpoint: endpoint.handler.cancel(req))
         return reply
 
     async def beat(self, req: BeatRequest) -> LoadReport:
         """Request a heartbeat and the load report."""
-        reply: LoadReport = await self._call(lambda host: host.handler.beat(req))
+        reply: LoadReport = await self._call(lambda endpoint: endpoint.handler.beat(req))
         return reply
 
     async def sync(self, req: SyncRequest) -> SyncReply:
         """Request records."""
-        reply: SyncReply = await self._call(lambda host: host.handler.sync(req))
+        reply: SyncReply = await self._call(lambda endpoint: endpoint.handler.sync(req))
         return reply
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
         """Claim the right to run under an idempotency key."""
-        reply: ClaimReply = await self._call(lambda host: host.handler.claim(req))
+        reply: ClaimReply = await self._call(lambda endpoint: endpoint.handler.claim(req))
         return reply
 
     async def settle(self, req: SettleRequest) -> SettleReply:
         """Report how the run under an idempotency key ended."""
-        reply: SettleReply = await self._call(lambda host: host.handler.settle(req))
+        reply: SettleReply = await self._call(lambda endpoint: endpoint.handler.settle(req))
         return reply
 
     @asynccontextmanager
@@ -128,10 +128,10 @@
         await self._own_gate.enter()
         with trio.move_on_after(CALL_TIMEOUT_S):
             await self._travel(connection, 2)
-            host = self._host()
-            await host.gate.enter()
-            reply = await ask(host)
-            await host.gate.enter()
+            endpoint = self._host()
+            await endpoint.gate.enter()
+            reply = await ask(endpoint)
+            await endpoint.gate.enter()
             await self._own_gate.enter()
             if self._wire.passes(connection):
                 return reply
@@ -144,10 +144,10 @@
             await trio.sleep_forever()
 
     def _host(self) -> Host:
-        host = self._find()
-        if host is None:
+        endpoint = self._find()
+        if endpoint is None:
             raise LinkLostError(self._address, 'refused')
-        return host
+        return endpoint
 
     async def _frames(
         self,
@@ -160,8 +160,8 @@
         await self._own_gate.enter()
         await trio.sleep(self._wire.delay_s)
         if self._wire.passes(connection):
-            host = self._host()
-            host.nursery.start_soon(_serve_run, host, req, sender, scope)
+            endpoint = self._host()
+            endpoint.nursery.start_soon(_serve_run, endpoint, req, sender, scope)
         async for sent_at, frame in receiver:
             remaining_s = sent_at + self._wire.delay_s - trio.current_time()
             if remaining_s > 0:
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
@@ -13,7 +13,7 @@
 SPAN_S = 4.0
 SHARE = 1.5
 MORE = 5
-# Requests are not counted for this time after a limit was first reported.
+# Requests are not counted for this time after an instance could first know a limit.
 KNOWN_S = 3.0
 
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/word_bounds.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/word_bounds.py
@@ -14,7 +14,7 @@
     # which the status was reported to it, and the time of the request.
     Excused = Callable[[str, float, float], bool]
 
-# An instance may send to a runner for this time after the runner reported draining.
+# An instance may send to a runner for this time after the runner reported draining to it.
 DRAIN_S = 2.0
 # Requests to a runner that asked for back-off are not counted for this time, and
 # are limited to this number for the rest of the back-off.
