--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in engine: continuous batching in steps, on trio's clock."""
+"""Stand-in for an inference engine: continuous batching in steps, on trio's clock."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 from sesamepoint.upstream.base import UpstreamLoad
 from sesamepoint_standins import engine_model as model
 
+# Decode steps that are simulated with one sleep.
 MAX_STEPS = 16
 SNAPSHOT_S = 0.1
 KEPT_SNAPSHOTS = 64
+# Averaging time of the reported step duration.
 STEP_MEMORY_S = 4.0
+# Prefixes in a load report.
 KEPT_PREFIXES = 16
 
 
 class EngineRequest(NamedTuple):
-    """One completion as the engine gets it."""
+    """Completion request as the engine receives it."""
 
     name: str
     prompt_tokens: int
@@ -32,11 +35,11 @@
 
 
 class EngineRefusedError(Exception):
-    """An order that the engine does not take."""
+    """Order to change the role that the engine refuses."""
 
 
 class _Running:
-    """One request inside the engine."""
+    """Request that waits or runs in the engine."""
 
     def __init__(self, req: EngineRequest, left: int, out: trio.MemorySendChannel[str]) -> None:
         self.req = req
@@ -47,35 +50,39 @@
 
     @property
     def output_left(self) -> int:
-        """Tokens still to generate."""
+        """Return the number of tokens still to generate."""
         return self.req.output_tokens - self.produced
 
     def produce(self, steps: int, flush_tokens: int) -> None:
-        """Generate tokens and send them when enough are there."""
+        """Generate a token per step, and send the unsent text.
+
+        It is sent from ``flush_tokens`` tokens on, and at once for the first and
+        the last token.
+        """
         self.produced += steps
         due = self.produced - self.sent
         if due >= flush_tokens or not self.output_left or not self.sent:
-            # A client that went away without a cancel goes unnoticed.
+            # The engine does not notice a client that disconnects without a cancel.
             with suppress(trio.BrokenResourceError):
                 self.out.send_nowait(model.answer_text(self.req.seed, self.sent, due))
             self.sent = self.produced
 
 
 class Engine:
-    """Runs steps: prompt chunks and running answers share each of them.
+    """Simulated engine; each step covers a prompt chunk and all running answers.
 
     Parameters
     ----------
     role
-        The role that is loaded at first.
+        Initial role.
     checks_fencing
-        Whether an order under an older fencing number is refused.
+        Whether an order with an older fencing number is refused.
     flush_tokens
-        Tokens per piece of an answer's stream.
+        Tokens per chunk of an answer's stream.
     """
 
     def __init__(self, role: str, *, checks_fencing: bool, flush_tokens: int = 1) -> None:
-        """Start idle."""
+        """Start without requests."""
         self.role = role
         self.fence = -1
         self.changing = False
@@ -99,50 +106,50 @@
         self._step_s = model.BASE_STEP_S
 
     def submit(self, req: EngineRequest) -> trio.MemoryReceiveChannel[str]:
-        """Queue ``req``; its text comes out of the channel.
+        """Queue ``req`` and return the channel of its text.
 
-        The channel closes early, and breaks, when the engine drops it.
+        The channel is closed early if the engine drops the request.
         """
         sender, receiver = trio.open_memory_channel[str](float('inf'))
         cached = self._cached_tokens(req)
         self.runs[req.name] = self.runs.get(req.name, 0) + 1
         self.runs_by_seed[req.seed] = self.runs_by_seed.get(req.seed, 0) + 1
         self._waiting.append(_Running(req, max(req.prompt_tokens - cached, 1), sender))
-        self._waiting.sort(key=lambda found: -found.req.priority)
+        self._waiting.sort(key=lambda active: -active.req.priority)
         self._arrived.set_off()
         return receiver
 
     def cancel(self, name: str) -> None:
-        """Drop a request, wherever it is."""
-        for found in self._inside(name):
-            queue = self._waiting if found in self._waiting else self._running
-            queue.remove(found)
-            found.out.close()
+        """Drop a waiting or running request."""
+        for active in self._inside(name):
+            queue = self._waiting if active in self._waiting else self._running
+            queue.remove(active)
+            active.out.close()
             self._arrived.set_off()
 
     def load(self) -> UpstreamLoad:
-        """Return the report as it was some time ago; role and change are exact."""
+        """Return the delayed load report; ``role`` and ``changing`` are current."""
         self._snapshot()
         horizon = trio.current_time() - model.REPORT_LAG_S - self.report_extra_lag_s
-        old = [load for made_at, load in self._reports if made_at <= horizon]
-        load = old[-1] if old else self._reports[0][1]
+        visible = [load for made_at, load in self._reports if made_at <= horizon]
+        load = visible[-1] if visible else self._reports[0][1]
         return load._replace(role=self.role, changing=self.changing)
 
     def order(self, role: str, fence: int) -> None:
-        """Begin a role change; whatever runs is dropped.
+        """Begin a role change and drop all requests.
 
         Raises
         ------
         EngineRefusedError
-            If the role is unknown, a change is under way, or the fencing
-            number is older than one seen and this engine checks.
+            If the role is unknown, a role change is in progress, or the
+            engine checks fencing and the number is older than the newest.
         """
         if role not in model.PROFILES:
             raise EngineRefusedError(f'unknown role {role!r}')
         if self._checks_fencing and fence < self.fence:
             raise EngineRefusedError(f'fencing number {fence} is older than {self.fence}')
         if self.changing:
-            raise EngineRefusedError('a change is under way')
+            raise EngineRefusedError('a role change is in progress')
         self.fence = max(fence, self.fence)
         self.orders.append((role, fence))
         self.cut_off_by_order += len(self._inside())
@@ -154,7 +161,7 @@
         self._arrived.set_off()
 
     def crash(self) -> None:
-        """Drop everything; a change under way stays half done."""
+        """Drop all requests and the cache; a role change in progress stays unfinished."""
         self._drop_all()
         self._cache.clear()
         self.changing = False
@@ -190,51 +197,51 @@
         self._snapshot()
 
     def _plan_chunk(self, profile: model.Profile) -> list[tuple[_Running, int]]:
-        left = profile.chunk_tokens
+        budget = profile.chunk_tokens
         chunk = []
-        for found in self._waiting[: max(profile.max_running - len(self._running), 0)]:
-            part = min(found.prefill_left, left)
-            if part:
-                chunk.append((found, part))
-            left -= part
+        for active in self._waiting[: max(profile.max_running - len(self._running), 0)]:
+            tokens = min(active.prefill_left, budget)
+            if tokens:
+                chunk.append((active, tokens))
+            budget -= tokens
         return chunk
 
     async def _mixed_step(self, chunk: list[tuple[_Running, int]]) -> None:
         decoding = list(self._running)
-        tokens = sum(part for _, part in chunk)
-        one_s = model.step_s(tokens, len(decoding))
-        self._note_step(one_s, 1)
-        await trio.sleep(one_s * self.slowdown)
-        for found, part in chunk:
-            found.prefill_left -= part
-            if not found.prefill_left and found in self._waiting:
-                self._waiting.remove(found)
-                self._running.append(found)
-                self._remember_prefix(found.req)
-                found.produce(1, self._flush_tokens)
+        chunk_tokens = sum(tokens for _, tokens in chunk)
+        step_s = model.step_s(chunk_tokens, len(decoding))
+        self._note_step(step_s, 1)
+        await trio.sleep(step_s * self.slowdown)
+        for active, tokens in chunk:
+            active.prefill_left -= tokens
+            if not active.prefill_left and active in self._waiting:
+                self._waiting.remove(active)
+                self._running.append(active)
+                self._remember_prefix(active.req)
+                active.produce(1, self._flush_tokens)
         self._produce(decoding, 1)
 
     async def _decode_steps(self) -> None:
         decoding = list(self._running)
         self._note_step(model.step_s(0, len(decoding)), MAX_STEPS)
-        one_s = model.step_s(0, len(decoding)) * self.slowdown
-        steps = min(MAX_STEPS, min(found.output_left for found in decoding))
+        step_s = model.step_s(0, len(decoding)) * self.slowdown
+        steps = min(MAX_STEPS, min(active.output_left for active in decoding))
         started = trio.current_time()
-        if await self._arrived.wait_at_most(steps * one_s):
-            whole = int((trio.current_time() - started) / one_s) + 1
-            steps = min(steps, whole)
-            await trio.sleep(max(started + steps * one_s - trio.current_time(), 0))
+        if await self._arrived.wait_at_most(steps * step_s):
+            started_steps = int((trio.current_time() - started) / step_s) + 1
+            steps = min(steps, started_steps)
+            await trio.sleep(max(started + steps * step_s - trio.current_time(), 0))
         self._produce(decoding, steps)
 
     def _note_step(self, one_s: float, steps: int) -> None:
-        """Average the seconds per step over the last few seconds."""
+        """Update the average duration of a step, in seconds."""
         weight = min(steps * one_s / STEP_MEMORY_S, 1)
         self._step_s += weight * (one_s - self._step_s)
 
     def _produce(self, decoding: list[_Running], steps: int) -> None:
-        for found in decoding:
-            if found in self._running:
-                found.produce(steps, self._flush_tokens)
+        for active in decoding:
+            if active in self._running:
+                active.produce(steps, self._flush_tokens)
         done = [ended for ended in self._running if not ended.output_left]
         for finished in done:
             self._running.remove(finished)
@@ -261,7 +268,7 @@
 
     def _inside(self, name: str = '') -> list[_Running]:
         inside = [*self._waiting, *self._running]
-        return [found for found in inside if name in {found.req.name, ''}]
+        return [active for active in inside if name in {active.req.name, ''}]
 
     def _snapshot(self, *, idle: bool = False) -> None:
         now = trio.current_time()
@@ -272,8 +279,8 @@
         load = UpstreamLoad(
             role=self.role,
             changing=self.changing,
-            waiting_tokens=sum(found.prefill_left for found in self._waiting),
-            urgent_tokens=sum(found.prefill_left for found in self._waiting if found.req.priority),
+            waiting_tokens=sum(active.prefill_left for active in self._waiting),
+            urgent_tokens=sum(active.prefill_left for active in self._waiting if active.req.priority),
             waiting=len(self._waiting),
             running=running,
             prefill_rate=model.prefill_rate(self.role, running) / self.slowdown,
