--- a/tests/front/test_peers.py
+++ b/tests/front/test_peers.py
@@ -1,4 +1,4 @@
-"""What entries tell each other."""
+"""Announcements of sends between instances."""
 
 from __future__ import annotations
 
@@ -26,52 +26,54 @@
 
 
 class RecordingNetwork:
-    """Keeps the words that were sent, by where to."""
+    """A network that records sent messages by address."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without messages."""
         self.words: dict[Address, list[Word]] = defaultdict(list)
 
     async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Hear nothing."""
+        """Receive nothing."""
         await trio.sleep_forever()
 
     async def send(self, datagram: bytes, address: Address) -> None:
-        """Keep a word."""
+        """Record a message."""
         self.words[address].append(msgspec.msgpack.decode(datagram, type=Word))
 
 
 async def tell_of_sends(fleet: Fleet) -> tuple[RecordingNetwork, KnownEngines]:
-    """Send a prompt to each engine from the first of forty entries."""
+    """Send a prompt to each engine from the first of 40 instances, and announce these sends."""
     network = RecordingNetwork()
-    known = KnownEngines('front-1', fleet)
+    engine_subset = KnownEngines('front-1', fleet)
     sends = SendNotes('front-1', fleet, Random(1))
-    peers = Peers(front_settings(1), sends, Quarantine('front-1'), known, network)
+    peers = Peers(front_settings(1), sends, Quarantine('front-1'), engine_subset, network)
     for number in range(1, PEERS + 1):
         peers.update(KeyedRecord(f'front-{number}', f'10.1.0.{number}:8002'.encode()))
     for member in fleet.of_service('llm'):
         sends.begin(NewLoad(member, 0.1, 1000), [Part('a', 1000)])
     with trio.move_on_after(0.2):
         await peers.tell()
-    return network, known
+    return network, engine_subset
 
 
 class TellTest(TestCase):
-    """Words to those whom they concern."""
+    """Which instances receive an announcement."""
 
     @virtual
     async def test_small_fleet_all_told(self) -> None:
         network, _ = await tell_of_sends(fleet_of(10))
         self.assertEqual(len(network.words), PEERS - 1)
-        self.assertEqual({len(words[0].sends) for words in network.words.values()}, {10})
+        self.assertEqual({len(messages[0].sends) for messages in network.words.values()}, {10})
 
     @virtual
     async def test_large_fleet_knowers_told(self) -> None:
-        """Of 600 engines each entry knows some 24, and hears of sends to those alone."""
+        """Each instance uses about 24 of 600 engines, and receives announcements of sends to these only."""
         fleet = fleet_of(600)
-        network, known = await tell_of_sends(fleet)
+        network, engine_subset = await tell_of_sends(fleet)
         for number in range(2, PEERS + 1):
-            words = network.words[Address(f'10.1.0.{number}', 8002)]
-            told = {send.runner for word in words for send in word.sends}
-            concerned = {key for key in fleet.members if known.at(f'front-{number}', key) and key.startswith('i-')}
-            self.assertEqual(told, concerned)
+            messages = network.words[Address(f'10.1.0.{number}', 8002)]
+            announced = {send.runner for message in messages for send in message.sends}
+            concerned = {
+                key for key in fleet.members if engine_subset.at(f'front-{number}', key) and key.startswith('i-')
+            }
+            self.assertEqual(announced, concerned)
--- a/tests/front/test_pool.py
+++ b/tests/front/test_pool.py
@@ -1,4 +1,4 @@
-"""Whether anybody listens at a runner's address, over real sockets."""
+"""Probes of a runner's address by the connection pool, over real sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def with_listener(check: Callable[[trio.SocketListener, Pool], Awaitable[None]]) -> None:
-    """Run ``check`` with a listener and a pool that aims at it."""
+    """Run ``check`` with a listener and a pool of connections to it."""
     listener = (await trio.open_tcp_listeners(0, host=HOST))[0]
     async with listener:
         port = listener.socket.getsockname()[1]
@@ -26,16 +26,16 @@
 
 
 async def ended(listener: trio.SocketListener, pool: Pool) -> bool:
-    """Tell what the pool sees when the listener has gone."""
+    """Close the listener and return whether a probe is refused."""
     await listener.aclose()
     return await pool.refuses()
 
 
 class RefusesTest(TestCase):
-    """One look at an address."""
+    """One probe of an address."""
 
     def test_nobody_listens(self) -> None:
-        """A process that has ended: its host refuses."""
+        """Once the process has ended, its host refuses the connection."""
 
         async def check(listener: trio.SocketListener, pool: Pool) -> None:
             self.assertTrue(await ended(listener, pool))
@@ -43,13 +43,13 @@
         trio.run(with_listener, check)
 
     def test_connection_kept(self) -> None:
-        """A process that lives takes the connection, and the next request goes over it."""
+        """A live process accepts the connection of the probe, and the next request reuses it."""
 
         async def check(listener: trio.SocketListener, pool: Pool) -> None:
             self.assertFalse(await pool.refuses())
             async with await listener.accept():
                 conn = await pool.take(_admit)
-                # Nobody listens any more: a second one would not come about.
+                # The listener is closed, so no second connection is possible.
                 self.assertTrue(await ended(listener, pool))
                 self.assertTrue(conn.quiet())
                 conn.close()
@@ -58,4 +58,4 @@
 
 
 def _admit() -> None:
-    """Let everything pass."""
+    """Admit every send."""
--- a/tests/front/test_processes.py
+++ b/tests/front/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, over sockets."""
+"""Fronts, store and runners as separate processes over sockets."""
 
 from __future__ import annotations
 
@@ -23,82 +23,87 @@
 
 
 class ProcessTest(TestCase):
-    """Two front processes, a store and four runners."""
+    """Two front processes with a store and four runners."""
 
     def test_whole_path(self) -> None:
-        """Requests of each kind at each front, a reload, a stop under load, a kill and a restart."""
+        """Send each kind of request to each front; reload and stop one under load, start a third, kill the second."""
         with tempfile.TemporaryDirectory() as folder:
             trio.run(self._play, Path(folder))
 
     async def _play(self, folder: Path) -> None:
-        async with running_processes(configuration(), folder, fronts=2) as bed:
-            await self._serve_each_kind(bed)
-            bed.fronts[0].process.send_signal(signal.SIGHUP)
-            await self._serve_each_kind(bed)
-            await self._stop_under_load(bed)
-            await bed.add_front()
-            bed.fronts[1].process.send_signal(signal.SIGKILL)
-            await self._check(bed, 2, asked('/card/a'))
+        async with running_processes(configuration(), folder, fronts=2) as bench:
+            await self._serve_each_kind(bench)
+            bench.fronts[0].process.send_signal(signal.SIGHUP)
+            await self._serve_each_kind(bench)
+            await self._stop_under_load(bench)
+            await bench.add_front()
+            bench.fronts[1].process.send_signal(signal.SIGKILL)
+            await self._check(bench, 2, asked('/card/a'))
         log = (folder / 'front-1.log').read_text(encoding='utf-8')
         for text in ('process started', 'settings read again', 'graceful stop requested', 'process stopped'):
             self.assertIn(text, log)
 
     async def _serve_each_kind(self, bed: ProcessBed) -> None:
         for number in range(2):
-            for req in (asked('/card/a'), asked('/thumb/a'), asked_prompt('/tag/a'), asked_prompt('/verdict/a', 9000)):
-                await self._check(bed, number, req)
+            for request in (
+                asked('/card/a'),
+                asked('/thumb/a'),
+                asked_prompt('/tag/a'),
+                asked_prompt('/verdict/a', 9000),
+            ):
+                await self._check(bed, number, request)
 
     async def _check(self, bed: ProcessBed, number: int, req: Asked) -> None:
-        seen = await caller_of(bed.fronts[number]).ask(req)
-        self.assertEqual((seen.status, seen.body, seen.whole), (200, req.expected, True))
+        answer = await caller_of(bed.fronts[number]).ask(req)
+        self.assertEqual((answer.status, answer.body, answer.whole), (200, req.expected, True))
 
     async def _stop_under_load(self, bed: ProcessBed) -> None:
         front = bed.fronts[0]
-        found: list[Seen] = []
+        answers: list[Seen] = []
         async with trio.open_nursery() as nursery:
             for _ in range(8):
-                nursery.start_soon(_ask_until_stopped, bed, found)
+                nursery.start_soon(_ask_until_stopped, bed, answers)
             await trio.sleep(0.2)
             front.process.send_signal(signal.SIGTERM)
             with trio.fail_after(STOP_LIMIT_S):
                 while await ready(front):
                     await trio.sleep(0.05)
-                # It says so while it still serves, not by being gone.
+                # It reports not ready while it still serves, not because it has ended.
                 self.assertIsNone(front.process.poll())
                 await front.process.wait()
         self.assertEqual(front.process.returncode, 0)
-        # A connection that was closed with nothing of its request read brings no answer at all.
-        self.assertEqual({(seen.status, seen.whole) for seen in found if seen.status}, {(200, True)})
+        # There is no answer if a connection was closed before any of its request was read.
+        self.assertEqual({(answer.status, answer.whole) for answer in answers if answer.status}, {(200, True)})
 
 
 class HarmfulRequestTest(TestCase):
-    """Three front processes, and plain runners that end on one request."""
+    """Three front processes, and plain runners that crash on a poison request."""
 
     def test_known_to_all_processes(self) -> None:
-        """Two runners end at the first process, one at the second; the third refuses, also when it starts anew."""
+        """Two runners end at the first front and one at the second; the third refuses, also after a restart."""
         with tempfile.TemporaryDirectory() as folder:
             trio.run(self._play, Path(folder))
 
     async def _play(self, folder: Path) -> None:
-        async with running_processes(configuration(), folder, fronts=3) as bed:
+        async with running_processes(configuration(), folder, fronts=3) as bench:
             for _ in range(3):
-                await bed.add_runner('web')
-            all_end_on_it(runner for runner in bed.runners if runner.service == 'web')
-            await bed.until_all_show('sesamepoint_entries 3.0')
-            await bed.until_all_show(f'sesamepoint_runners {len(bed.runners)}.0')
-            self.assertEqual((await self._ask(bed, 0)).status, BAD_GATEWAY)
-            await bed.until_all_show('sesamepoint_suspects 1.0')
-            await bed.until_all_show('sesamepoint_suspect_ends 2.0')
-            self.assertEqual((await self._ask(bed, 1)).status, BAD_GATEWAY)
-            await bed.until_all_show('sesamepoint_quarantined 1.0')
-            self.assertEqual((await self._ask(bed, 2)).status, NOT_RUN)
-            bed.fronts[2].process.send_signal(signal.SIGKILL)
-            await bed.fronts[2].process.wait()
-            await bed.until_ready(await bed.restart_front(2))
-            self.assertEqual((await self._ask(bed, 2)).status, NOT_RUN)
-            self.assertEqual(len(bed.ended), ENDED_BY_THEN)
-            req = asked('/thumb/sound')
-            self.assertEqual((await caller_of(bed.fronts[2]).ask(req)).body, req.expected)
+                await bench.add_runner('web')
+            all_end_on_it(runner for runner in bench.runners if runner.service == 'web')
+            await bench.until_all_show('sesamepoint_entries 3.0')
+            await bench.until_all_show(f'sesamepoint_runners {len(bench.runners)}.0')
+            self.assertEqual((await self._ask(bench, 0)).status, BAD_GATEWAY)
+            await bench.until_all_show('sesamepoint_suspects 1.0')
+            await bench.until_all_show('sesamepoint_suspect_ends 2.0')
+            self.assertEqual((await self._ask(bench, 1)).status, BAD_GATEWAY)
+            await bench.until_all_show('sesamepoint_quarantined 1.0')
+            self.assertEqual((await self._ask(bench, 2)).status, NOT_RUN)
+            bench.fronts[2].process.send_signal(signal.SIGKILL)
+            await bench.fronts[2].process.wait()
+            await bench.until_ready(await bench.restart_front(2))
+            self.assertEqual((await self._ask(bench, 2)).status, NOT_RUN)
+            self.assertEqual(len(bench.ended), ENDED_BY_THEN)
+            request = asked('/thumb/sound')
+            self.assertEqual((await caller_of(bench.fronts[2]).ask(request)).body, request.expected)
 
     async def _ask(self, bed: ProcessBed, number: int) -> Seen:
         return await caller_of(bed.fronts[number]).ask(harmful_fetch())
@@ -107,7 +112,7 @@
 async def _ask_until_stopped(bed: ProcessBed, found: list[Seen]) -> None:
     caller = caller_of(bed.fronts[0])
     while bed.fronts[0].process.poll() is None:
-        seen = await caller.ask(asked_prompt('/tag/a', output=20))
-        found.append(seen)
-        if not seen.status:
+        answer = await caller.ask(asked_prompt('/tag/a', output=20))
+        found.append(answer)
+        if not answer.status:
             await trio.sleep(0.1)
--- a/tests/front/test_random_faults.py
+++ b/tests/front/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults by fixed seeds, and twins without one safeguard each."""
+"""Random faults by fixed seeds, and faulty variants without one safeguard each."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.front.random_faults import play
 
-# 8 and 9: the stand-in took a prompt that was never read for a run. 27: the
-# oracle held fronts to a drain that the store had no time to pass on.
+# Seeds that have failed. 8, 9: the stand-in counted a prompt that it never read as a run.
+# 27: the checks expected a drain to be known before the store had passed it on.
 KEPT_SEEDS = (1, 2, 3, 8, 9, 27)
 TWIN_SEEDS = (1, 2, 3, 4, 5, 6)
 
@@ -24,7 +24,7 @@
 
 
 def _never_check(*_: Any) -> None:
-    """Take every caller for present."""
+    """Treat every caller as connected."""
 
 
 async def _never_notice(*_: Any) -> None:
@@ -36,7 +36,7 @@
 
 
 class RandomFaultsTest(TestCase):
-    """The promises hold under faults that nobody chose."""
+    """No violation under random faults."""
 
     def test_promises_kept(self) -> None:
         for seed in KEPT_SEEDS:
@@ -45,25 +45,25 @@
 
 
 class TwinTest(TestCase):
-    """The oracle finds what each safeguard prevents."""
+    """The checks find the violation once its safeguard is removed."""
 
     def test_twin_all_repeatable(self) -> None:
-        """What may run once is sent again after its runner broke off."""
+        """A request that may run only once is sent again after its connection broke."""
         with patch.object(dispatch, 'may_go_on', _go_on_once):
             self._finds('twice')
 
     def test_twin_broken_taken_for_rejected(self) -> None:
-        """A connection that broke is taken for a refusal, and the caller is told that nothing ran."""
+        """A broken connection counts as a rejection, so the answer says that the request has not run."""
         with patch.object(attempt, 'Broken', _took_for_rejected):
             self._finds('refused')
 
     def test_twin_leaving_ignored(self) -> None:
-        """Runners that leave get requests as before."""
+        """Draining runners get requests as before."""
         with patch.object(member.Member, 'leaving', new=False):
             self._finds('drain')
 
     def test_twin_leaving_of_callers_unnoticed(self) -> None:
-        """Work goes on for callers that have gone."""
+        """Requests of disconnected callers go on."""
         unchecked = patch.object(reply.Reply, 'check_caller', _never_check)
         with patch.object(door.Door, '_cancel_when_gone', _never_notice), unchecked:
             self._finds('gone')
--- a/tests/front/test_restarted_runners.py
+++ b/tests/front/test_restarted_runners.py
@@ -1,4 +1,4 @@
-"""Runners that start again under their key, and the orders in which that is learned."""
+"""Runners that restart under their key, with their updates arriving in various orders."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def fleet_with(*runners: Runner) -> Fleet:
-    """Return a fleet in which ``runners`` have registered."""
+    """Return a fleet with registrations of ``runners``."""
     fleet = Fleet(DRAIN_S, SocketNetwork(), trio.current_time, open_gate())
     for runner in runners:
         fleet.update(runner)
@@ -31,31 +31,30 @@
 
 
 def word_of(serial: int, born_ms: int) -> Word:
-    """Return a peer's word on one long prompt that it sent to the engine."""
+    """Return a peer's update on a long prompt that it sent to the engine."""
     send = Send(serial, 'i-1', work_s=0.5, tokens=9000, parts=PARTS, born_ms=born_ms)
     return Word('front-2', (send,), ())
 
 
 class LearnedOrderTest(TestCase):
-    """Registration and peers' words, in each order."""
+    """A runner's registration and updates of peers, in each order."""
 
     @virtual
     async def test_registration_first(self) -> None:
-        """An engine crashes and is back at once; its registration says so first.
+        """The registration of the new incarnation arrives before a peer's update on the old one.
 
-        What it had kept and had to do is gone. A peer's word on a send to
-        the earlier start arrives afterwards: counted, prompts would go where
-        their shared part no longer lies, and be read anew there.
+        Guards against counting that update: the engine has lost its cache and its work,
+        and prompts would go where their prefix block is gone and has to be prefilled again.
         """
         fleet = fleet_with(registered_engine(born_ms=EARLIER))
-        notes = SendNotes('front-1', fleet, Random(1))
-        notes.heard(word_of(1, EARLIER))
-        before = fleet.members['i-1']
-        self.assertEqual(before.cache.cached(PARTS), 9000)
+        tracker = SendNotes('front-1', fleet, Random(1))
+        tracker.heard(word_of(1, EARLIER))
+        member_before = fleet.members['i-1']
+        self.assertEqual(member_before.cache.cached(PARTS), 9000)
         for _ in range(3):
-            before.health.bad(trio.current_time())
+            member_before.health.bad(trio.current_time())
         fleet.update(registered_engine(born_ms=LATER))
-        notes.heard(word_of(2, EARLIER))
+        tracker.heard(word_of(2, EARLIER))
         member = fleet.members['i-1']
         self.assertEqual(member.cache.cached(PARTS), 0)
         self.assertEqual(member.load.wait_s(trio.current_time()), 0)
@@ -63,16 +62,15 @@
 
     @virtual
     async def test_peer_first(self) -> None:
-        """A peer has sent to the new start before this entry reads its registration.
+        """A peer's update names the new incarnation before this instance reads its registration.
 
-        What the peer tells belongs to the new start and must stay; the old
-        registration, still on its way from a store that is behind, must not
-        bring the earlier start back.
+        The update belongs to the new incarnation and must be kept. The old registration,
+        which a lagging store still delivers, must not bring the old incarnation back.
         """
         fleet = fleet_with(registered_engine(born_ms=EARLIER))
-        notes = SendNotes('front-1', fleet, Random(1))
-        notes.heard(word_of(1, EARLIER))
-        notes.heard(word_of(1, LATER))
+        tracker = SendNotes('front-1', fleet, Random(1))
+        tracker.heard(word_of(1, EARLIER))
+        tracker.heard(word_of(1, LATER))
         fleet.update(registered_engine(born_ms=EARLIER))
         fleet.update(registered_engine(born_ms=LATER))
         member = fleet.members['i-1']
@@ -82,18 +80,18 @@
 
     @virtual
     async def test_end_of_earlier_send(self) -> None:
-        """A send of this entry to the earlier start ends after the restart; serials may match."""
+        """A send to the old incarnation ends after the restart, and its serial matches a send to the new one."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER))
-        notes = SendNotes('front-1', fleet, Random(1))
-        end = notes.begin(NewLoad(fleet.members['i-1'], 0.5, 9000), PARTS)
+        tracker = SendNotes('front-1', fleet, Random(1))
+        end = tracker.begin(NewLoad(fleet.members['i-1'], 0.5, 9000), PARTS)
         fleet.update(registered_engine(born_ms=LATER))
-        notes.heard(Word('front-1', (Send(end.serial, 'i-1', 0.5, 9000, PARTS, born_ms=LATER),), ()))
-        notes.end(end._replace(finished=True))
+        tracker.heard(Word('front-1', (Send(end.serial, 'i-1', 0.5, 9000, PARTS, born_ms=LATER),), ()))
+        tracker.end(end._replace(finished=True))
         self.assertEqual(fleet.members['i-1'].load.streams(trio.current_time()), 1)
 
     @virtual
     async def test_forgotten_then_stale(self) -> None:
-        """The runner has gone for good; a store that is behind shows its earlier start once more."""
+        """A lagging store delivers a registration of an old incarnation after the runner was removed."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER), registered_engine(born_ms=LATER))
         fleet.remove('i-1')
         await trio.sleep(DRAIN_S)
@@ -103,7 +101,7 @@
 
     @virtual
     async def test_start_missing(self) -> None:
-        """A record without a start, over that of a runner that tells it: another writer's."""
+        """A record without an incarnation replaces that of a runner with one, so another writer has written it."""
         fleet = fleet_with(registered_engine(born_ms=LATER))
         fleet.update(registered_engine(born_ms=0))
         await trio.sleep(DRAIN_S)
@@ -113,7 +111,7 @@
 
     @virtual
     async def test_leaving_ends_with_the_start(self) -> None:
-        """It drained, and started again before its registration lapsed."""
+        """A draining runner restarts before its registration expires, and is used again."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER, leaving=True))
         fleet.update(registered_engine(born_ms=LATER))
         self.assertEqual(len(fleet.of_service('llm')), 1)
@@ -122,47 +120,47 @@
 
 
 class ServedAgainTest(TestCase):
-    """The whole front before engines that start again."""
+    """A whole front with engines that restart."""
 
     @virtual
     async def test_engine_asked_again(self) -> None:
-        """An engine starts again before its registration could lapse.
+        """An engine restarts before its registration expires.
 
-        The front goes on without a pause, and asks it anew what it keeps.
+        The front keeps using it, and requests its inventory again.
         """
         runners = [engine(1, 'prefill', born_ms=EARLIER), engine(2, 'decode', born_ms=EARLIER)]
-        async with running_bed(configuration(), runners) as bed:
+        async with running_bed(configuration(), runners) as bench:
             await trio.sleep(1)
             runners[0].start_again(LATER)
-            bed.add_runner(runners[0])
+            bench.add_runner(runners[0])
             await trio.sleep(1)
             self.assertEqual([runner.listings for runner in runners], [2, 1])
-            self.assertTrue((await bed.caller('front-1').ask(asked_prompt('/verdict/a'))).whole)
-            self.assertEqual(bed.fronts['front-1'].fleet.members['i-llm1'].runner.born_ms, LATER)
+            self.assertTrue((await bench.caller('front-1').ask(asked_prompt('/verdict/a'))).whole)
+            self.assertEqual(bench.fronts['front-1'].fleet.members['i-llm1'].runner.born_ms, LATER)
 
     @virtual
     async def test_answer_tells_first(self) -> None:
-        """The engine's own answer on what it keeps names a start that is not registered yet."""
+        """The inventory answer of an engine names an incarnation that is not registered yet."""
         runners = [engine(1, 'prefill', born_ms=EARLIER), engine(2, 'decode', born_ms=EARLIER)]
-        async with running_bed(configuration(), []) as bed:
+        async with running_bed(configuration(), []) as bench:
             for runner in runners:
-                bed.add_runner(runner)
+                bench.add_runner(runner)
                 runner.start_again(LATER)
             await trio.sleep(1)
-            members = bed.fronts['front-1'].fleet.members
+            members = bench.fronts['front-1'].fleet.members
             self.assertEqual({member.runner.born_ms for member in members.values()}, {LATER})
 
     @virtual
     async def test_answer_tells_no_start(self) -> None:
-        """An engine's answer names a start that no runner can have: what it says it keeps is not taken.
+        """An inventory answer that names an impossible incarnation is ignored.
 
-        Believed, each later word of the engine would look older, for ever.
+        Otherwise each later update of the engine would look outdated for good.
         """
         runners = [engine(1, 'prefill', born_ms=EARLIER), engine(2, 'decode', born_ms=EARLIER)]
-        async with running_bed(configuration(), []) as bed:
+        async with running_bed(configuration(), []) as bench:
             for runner in runners:
-                bed.add_runner(runner)
+                bench.add_runner(runner)
                 runner.start_again(MAX_START_MS)
             await trio.sleep(1)
-            members = bed.fronts['front-1'].fleet.members
+            members = bench.fronts['front-1'].fleet.members
             self.assertEqual({member.runner.born_ms for member in members.values()}, {EARLIER})
--- a/tests/front/test_shared_reading.py
+++ b/tests/front/test_shared_reading.py
@@ -1,4 +1,4 @@
-"""One entry reads the store for all, by turns."""
+"""Polling turns: one instance at a time polls the store for all."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-# Nothing of a topic is unknown for longer anywhere, with a store that answers:
-# all others' silence, a call, and a word on its way.
+# With a store that answers, every instance knows a record within this time: the silence of
+# all peers, one call, and a datagram on its way.
 BOUND_S = PACING.wait_s + PACING.rest_s + MARGIN_S + PACING.spread_s + 2 * ANSWER_S + 0.06
-# Runners renew their records so often.
+# Pause between two records on the topic.
 HEARTBEAT_S = 0.02
 SEEDS = range(1, 5)
 LOSSES = (0, 0.1, 0.5)
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def running(world: TopicWorld) -> AsyncIterator[TopicWorld]:
-    """Run the entries of ``world``, and writers, until the end of the block."""
+    """Run the instances of ``world`` and a writer of records until the end of the block."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_write, world)
         world.start(nursery)
@@ -51,195 +51,199 @@
 
 
 def all_know(world: TopicWorld, offset: int) -> bool:
-    """Tell whether all entries know the topic up to ``offset``."""
-    return all((entry.end or 0) >= offset for entry in world.entries.values())
+    """Return whether all instances know the topic up to ``offset``."""
+    return all((instance.end or 0) >= offset for instance in world.entries.values())
 
 
 class CallsTest(TestCase):
-    """What reading costs does not grow with the number of entries."""
+    """The number of store calls does not grow with the number of instances."""
 
     @virtual
     async def test_calls_of_many_as_of_few(self) -> None:
-        """68 entries that read for themselves made over 100 calls a second; now 5 and 68 make about as many."""
-        calls = []
+        """5 and 68 instances make about as many calls; 68 that poll each for itself made over 100 a second."""
+        calls_per_s = []
         for count in (5, ENTRIES):
-            async with running(TopicWorld(count)) as world:
-                before = world.store.calls
+            async with running(TopicWorld(count)) as simulation:
+                before = simulation.store.calls
                 await trio.sleep(10)
-                calls.append((world.store.calls - before) / 10)
-                self.assertEqual(world.wrong(), [])
-        self.assertLess(calls[0], 4)
-        self.assertLess(calls[1], 6)
+                calls_per_s.append((simulation.store.calls - before) / 10)
+                self.assertEqual(simulation.wrong(), [])
+        self.assertLess(calls_per_s[0], 4)
+        self.assertLess(calls_per_s[1], 6)
 
     @virtual
     async def test_one_reader_tells(self) -> None:
-        """The looks that each of 68 entries takes once a minute make no readers of them.
+        """An instance that checks the store itself once a minute does not become the poller.
 
-        Told of by all that looked, each of these readings cost 67 datagrams,
-        and two or three entries read at the same time.
+        Guards against broadcasting the results of these checks: each cost 67 datagrams
+        with 68 instances, and two or three instances polled at the same time.
         """
-        async with running(TopicWorld(ENTRIES)) as world:
-            before = world.told
+        async with running(TopicWorld(ENTRIES)) as simulation:
+            before = simulation.told
             await trio.sleep(2 * CHECK_S)
-            readings = (world.told - before) / (ENTRIES - 1) / (2 * CHECK_S)
-            self.assertLess(readings, 1.1 / (PACING.rest_s + ANSWER_S))
+            polls_per_s = (simulation.told - before) / (ENTRIES - 1) / (2 * CHECK_S)
+            self.assertLess(polls_per_s, 1.1 / (PACING.rest_s + ANSWER_S))
 
     @virtual
     async def test_reader_changes(self) -> None:
-        """No entry reads for the others for ever: in five minutes four of ten or more have had a turn."""
-        async with running(TopicWorld(10)) as world:
-            readers = set()
+        """Polling turns rotate: at least four of ten instances have one within five minutes."""
+        async with running(TopicWorld(10)) as simulation:
+            pollers = set()
             for _ in range(300):
                 await trio.sleep(1)
-                readers |= {entry.name for entry in world.entries.values() if entry.watch.turns.reads_for_all}
-            self.assertGreater(len(readers), 3)
+                pollers |= {
+                    instance.name for instance in simulation.entries.values() if instance.watch.turns.reads_for_all
+                }
+            self.assertGreater(len(pollers), 3)
 
     @virtual
     async def test_fronts(self) -> None:
-        """Five fronts that know all make no more calls than two that read for themselves made."""
-        async with running_bed(configuration(), fleet(), fronts=5) as bed:
+        """Five fronts make no more calls than two did that polled each for itself."""
+        async with running_bed(configuration(), fleet(), fronts=5) as bench:
             await trio.sleep(3)
-            before = bed.store.calls
+            before = bench.store.calls
             await trio.sleep(10)
-            self.assertLess(bed.store.calls - before, 50)
+            self.assertLess(bench.store.calls - before, 50)
 
 
 class FailureTest(TestCase):
-    """Readers that die, entries that hear nothing, a store that refuses some."""
+    """Failed pollers, unreachable instances, and a store that refuses some instances."""
 
     @virtual
     async def test_reader_dies(self) -> None:
-        """The reader is killed in the middle of its turn.
+        """The poller is killed during its turn.
 
-        Nobody tells the others any more. Whoever has heard nothing for a
-        while reads in its place, before callers notice.
+        Updates stop, and an instance that has received none for a while takes over
+        the polling before callers are affected.
         """
-        async with running(TopicWorld(ENTRIES)) as world:
+        async with running(TopicWorld(ENTRIES)) as simulation:
             for _ in range(5):
-                reader = next(entry.name for entry in world.entries.values() if entry.watch.turns.reads_for_all)
-                world.kill(reader)
-                offset = len(world.store.log)
+                poller = next(
+                    instance.name for instance in simulation.entries.values() if instance.watch.turns.reads_for_all
+                )
+                simulation.kill(poller)
+                offset = len(simulation.store.log)
                 await trio.sleep(BOUND_S)
-                self.assertTrue(all_know(world, offset))
+                self.assertTrue(all_know(simulation, offset))
 
     @virtual
     async def test_entry_hears_nothing(self) -> None:
-        """No word reaches one entry; it reads for itself, and is no later than the bound."""
-        async with running(TopicWorld(ENTRIES)) as world:
-            world.deaf.add('e3')
+        """An instance that receives no datagrams polls for itself, and stays within the bound."""
+        async with running(TopicWorld(ENTRIES)) as simulation:
+            simulation.deaf.add('e3')
             for _ in range(20):
-                offset = len(world.store.log)
+                offset = len(simulation.store.log)
                 await trio.sleep(BOUND_S)
-                self.assertTrue(all_know(world, offset))
+                self.assertTrue(all_know(simulation, offset))
 
     @virtual
     async def test_store_refuses_one(self) -> None:
-        """The store answers all but one entry, which then lives by what the others tell."""
-        async with running(TopicWorld(ENTRIES)) as world:
-            world.store.refused.add('e5')
+        """The store refuses one instance, which stays within the bound through updates of its peers."""
+        async with running(TopicWorld(ENTRIES)) as simulation:
+            simulation.store.refused.add('e5')
             await trio.sleep(2)
             for _ in range(20):
-                offset = len(world.store.log)
+                offset = len(simulation.store.log)
                 await trio.sleep(BOUND_S)
-                self.assertTrue(all_know(world, offset))
+                self.assertTrue(all_know(simulation, offset))
 
     @virtual
     async def test_too_much_for_a_datagram(self) -> None:
-        """Forty engines register at once; no datagram holds that, so all read it, and soon."""
-        async with running_bed(configuration(), fleet(), fronts=3) as bed:
+        """Forty engines register at once: the update does not fit a datagram, so all instances poll within 1 s."""
+        async with running_bed(configuration(), fleet(), fronts=3) as bench:
             await trio.sleep(5)
             for number in range(10, 50):
-                bed.add_runner(engine(number, 'decode'))
+                bench.add_runner(engine(number, 'decode'))
             await trio.sleep(1)
-            sizes = {len(front.fleet.members) for front in bed.fronts.values()}
+            sizes = {len(front.fleet.members) for front in bench.fronts.values()}
             self.assertEqual(sizes, {45})
 
     @virtual
     async def test_drain_store_refuses_one_front(self) -> None:
-        """A front that the store refuses learns from another one that a runner leaves."""
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bed:
+        """A front that the store refuses learns from its peer that a runner is draining."""
+        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bench:
             await trio.sleep(3)
-            bed.network.cut.add(frozenset(('10.9.0.1', '10.1.0.1')))
+            bench.network.cut.add(frozenset(('10.9.0.1', '10.1.0.1')))
             await trio.sleep(5)
-            bed.drain_runner('i-web1')
+            bench.drain_runner('i-web1')
             await trio.sleep(2)
-            runs = len(bed.runners['i-web1'].runs)
+            runs = len(bench.runners['i-web1'].runs)
             for _ in range(10):
-                self.assertEqual((await bed.caller('front-1').ask(asked('/card/a'))).status, 200)
-            self.assertEqual(len(bed.runners['i-web1'].runs), runs)
+                self.assertEqual((await bench.caller('front-1').ask(asked('/card/a'))).status, 200)
+            self.assertEqual(len(bench.runners['i-web1'].runs), runs)
 
 
 class FalseNewsTest(TestCase):
-    """News that nobody of ours has read."""
+    """Updates that no instance has sent."""
 
     @virtual
     async def test_stranger_passed_over(self) -> None:
-        """Who is not registered as an entry is not believed."""
-        async with running_bed(configuration(), fleet(), fronts=2) as bed:
+        """Updates of a sender that is no registered instance are ignored."""
+        async with running_bed(configuration(), fleet(), fronts=2) as bench:
             await trio.sleep(3)
-            front = bed.fronts['front-1']
+            front = bench.fronts['front-1']
             forged = News('stranger', RUNNER_TOPIC, 0, 10_000, ())
             front.peers.on_word[News] = self.fail
             front.peers.take(_encoded(forged))
 
     @virtual
     async def test_false_offset_lasts_a_minute(self) -> None:
-        """A word in an entry's name tells of an offset that there never was.
+        """A forged update in the name of an instance claims an offset beyond the end of the log.
 
-        All of the log until there seems known, and runners that leave or
-        come are not seen. Each entry looks into the store itself every
-        minute, finds that its log ends before, and reads it whole.
+        The log up to there then counts as known, and changes of runners are missed. Each
+        instance checks the store itself every minute, finds that its log ends before that
+        offset, and lists the whole topic.
         """
-        async with running_bed(configuration(), fleet(), fronts=2) as bed:
+        async with running_bed(configuration(), fleet(), fronts=2) as bench:
             await trio.sleep(3)
-            front = bed.fronts['front-1']
+            front = bench.fronts['front-1']
             front.peers.take(_encoded(News('front-2', RUNNER_TOPIC, 0, 10_000, ())))
-            bed.add_runner(engine(9, 'decode'))
+            bench.add_runner(engine(9, 'decode'))
             await trio.sleep(CHECK_S + 2)
             self.assertIn('i-llm9', front.fleet.members)
 
 
 class RandomTest(TestCase):
-    """Loss, delay, reordering, duplicates, refusals and kills, by seed."""
+    """Random loss, delay, reordering, duplicates, refusals and kills, by seed."""
 
     def test_random_faults(self) -> None:
-        """At every moment an entry believes just what the log says up to its offset; after a calm it knows all."""
+        """The records of an instance always match the log up to its offset, and the whole log once faults end."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_virtual(_faulty_minute, seed), [])
 
     def test_twin_takes_what_does_not_follow(self) -> None:
-        """An entry that takes word over a gap believes what is no longer so: the oracle sees it."""
+        """An instance that applies updates across a gap keeps outdated records, and the checks find it."""
         with patch.object(ReadingTurns, 'told', _told_over_gaps):
-            found = [run_virtual(_faulty_minute, seed) for seed in SEEDS]
-        self.assertTrue(any(found))
+            violations = [run_virtual(_faulty_minute, seed) for seed in SEEDS]
+        self.assertTrue(any(violations))
 
 
 async def _faulty_minute(seed: int) -> list[str]:
-    world = TopicWorld(12, seed)
-    rng = world.rng
-    found: list[str] = []
-    async with running(world):
+    simulation = TopicWorld(12, seed)
+    rng = simulation.rng
+    violations: list[str] = []
+    async with running(simulation):
         for _ in range(60):
-            world.loss = rng.choice(LOSSES)
-            world.longest_s = rng.choice(DELAYS_S)
-            world.store.refused = set(rng.sample(sorted(world.entries), 1))
-            world.deaf = set(rng.sample(sorted(world.entries), 1))
+            simulation.loss = rng.choice(LOSSES)
+            simulation.longest_s = rng.choice(DELAYS_S)
+            simulation.store.refused = set(rng.sample(sorted(simulation.entries), 1))
+            simulation.deaf = set(rng.sample(sorted(simulation.entries), 1))
             if not rng.randrange(20):
-                world.kill(rng.choice(sorted(world.entries)))
+                simulation.kill(rng.choice(sorted(simulation.entries)))
             await trio.sleep(rng.uniform(0.2, 1.5))
-            found += world.wrong()
-        world.loss = 0
-        world.longest_s = 0.002
-        world.store.refused = set()
-        world.deaf = set()
-        # Until the last refused call has been repeated.
+            violations += simulation.wrong()
+        simulation.loss = 0
+        simulation.longest_s = 0.002
+        simulation.store.refused = set()
+        simulation.deaf = set()
+        # Lets the last refused call be repeated.
         await trio.sleep(1)
-        offset = len(world.store.log)
+        offset = len(simulation.store.log)
         await trio.sleep(BOUND_S)
-        found += [] if all_know(world, offset) else ['late']
-        found += world.wrong()
-    return found
+        violations += [] if all_know(simulation, offset) else ['late']
+        violations += simulation.wrong()
+    return violations
 
 
 def _told_over_gaps(turns: ReadingTurns, _: str, start: int, end: int, now: float) -> bool:
--- a/tests/front/test_soak.py
+++ b/tests/front/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, by fixed seeds."""
+"""A short soak test of real processes, by fixed seeds."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.front.builders import configuration
 from tests.front.soak import FRONTS, Soak, play
 
-# Seeds that failed once are added here, each with a line on the cause.
+# Add each seed that fails, with a line on the cause.
 SEEDS = (1, 2)
 LENGTH_S = 4.0
 
 
 class SoakTest(TestCase):
-    """Fronts that are killed, stopped, frozen and reloaded behind faulty connections."""
+    """Fronts that are killed, stopped, frozen and reloaded, with faulty connections."""
 
     def test_seeds_kept(self) -> None:
         for seed in SEEDS:
@@ -27,11 +27,11 @@
                 self.assertEqual(trio.run(play, seed, LENGTH_S), [])
 
     def test_reload_of_a_start(self) -> None:
-        """A front is told of changed settings the moment that it is started again.
+        """A front gets the signal to reload its settings just as it is restarted.
 
-        The signal ends it, since nothing handles it yet, and the platform
-        starts it again; the harness that did not waited for it in vain.
-        Seed 2 showed that once, beside other runs.
+        The signal ends it, since its handler is not installed yet. Guards against a harness
+        that waits for it instead of restarting it, as the platform does; seed 2 showed that
+        once, beside other runs.
         """
         self.assertTrue(trio.run(_reload_a_start))
 
--- a/tests/front/test_store_went_back.py
+++ b/tests/front/test_store_went_back.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy that is some seconds old."""
+"""Store rollbacks: the store comes back from a copy that is some seconds old."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 SETTLED_S = SETTLE_S + SETTLE_SPREAD_S + 1
 LOST_S = 2.0
 SOON_S = 1.2
-# Records of quarantined requests are read by all within this time.
+# All instances read a quarantine record within this time.
 READ_S = 20.0
 KEY = 'k3yOfHarbor'
-# What a session of runs writes before and after it went back.
+# Number of records written before the rollback, and lost by it.
 BEFORE = 60
 LOST = 7
 SEEDS = range(1, 9)
@@ -38,12 +38,12 @@
 
 
 async def _status(bed: PlatformBed, front: str, path: str = '/card/a') -> int:
-    seen = await bed.caller(front).ask(asked(path, extra=(bearer(KEY),)))
-    return seen.status
+    answer = await bed.caller(front).ask(asked(path, extra=(bearer(KEY),)))
+    return answer.status
 
 
 def _changed(log: list[KeyedRecord], since: int) -> set[str]:
-    """Return the keys whose records say something else since an offset."""
+    """Return the keys whose newest record has changed since an offset."""
     before = fold(log[:since])
     return {record.key for record in log[since:] if before.get(record.key, b'') != record.text}
 
@@ -53,192 +53,192 @@
 
 
 def _do_nothing(_: Watch) -> None:
-    """Stand in for a safeguard."""
+    """Replace a safeguard."""
 
 
 async def _wrong_after(seed: int) -> int:
-    """Return how many of five entries are wrong after the log went back and grew past its old end."""
-    world = TopicWorld(5, seed)
+    """Return how many of five instances are inconsistent after the log rolled back and grew past its old end."""
+    simulation = TopicWorld(5, seed)
     async with trio.open_nursery() as nursery:
-        world.start(nursery)
+        simulation.start(nursery)
         for _ in range(BEFORE):
-            world.write()
+            simulation.write()
         await trio.sleep(2)
-        world.store.go_back(LOST)
+        simulation.store.go_back(LOST)
         for _ in range(2 * LOST):
-            world.write()
+            simulation.write()
         await trio.sleep(SETTLED_S)
-        beliefs = [entry.believed for entry in world.entries.values()]
+        record_sets = [instance.believed for instance in simulation.entries.values()]
         nursery.cancel_scope.cancel()
-    return sum(believed != fold(world.store.log) for believed in beliefs)
+    return sum(records != fold(simulation.store.log) for records in record_sets)
 
 
 class TopicTest(TestCase):
-    """What entries believe of a topic."""
+    """The records of a topic that instances know after a rollback."""
 
     @virtual
     async def test_all_believe_the_new_history(self) -> None:
-        """The log goes back and grows past the old offset before anybody has looked.
+        """The log rolls back and grows past the old offset before any instance polls.
 
-        No read fails: an entry that went on from its old offset would never see
-        the records below it. It reads anew since the era has changed.
+        No poll fails, and an instance that went on from its old offset would never see the
+        records below it. It lists the topic again since the epoch has changed.
         """
         self.assertEqual([await _wrong_after(seed) for seed in SEEDS], [0 for _ in SEEDS])
 
     @virtual
     async def test_twin_that_heeds_no_era(self) -> None:
-        """Going by offsets alone, entries believe what never was, for good."""
+        """Without the epoch, instances go by offsets and keep records that the new history lacks."""
         with patch.object(Watch, '_note_era', _do_nothing):
-            wrong = [await _wrong_after(seed) for seed in SEEDS]
-        self.assertGreater(sum(wrong), 0)
+            inconsistent = [await _wrong_after(seed) for seed in SEEDS]
+        self.assertGreater(sum(inconsistent), 0)
 
     @virtual
     async def test_twice_in_a_row(self) -> None:
-        """It goes back again before all is settled."""
-        world = TopicWorld(5)
+        """The store rolls back again before the first rollback is settled."""
+        simulation = TopicWorld(5)
         async with trio.open_nursery() as nursery:
-            world.start(nursery)
+            simulation.start(nursery)
             for _ in range(BEFORE):
-                world.write()
+                simulation.write()
             await trio.sleep(2)
             for _ in range(2):
-                world.store.go_back(LOST)
-                world.write()
+                simulation.store.go_back(LOST)
+                simulation.write()
                 await trio.sleep(1)
             await trio.sleep(SETTLED_S)
-            beliefs = [entry.believed for entry in world.entries.values()]
+            record_sets = [instance.believed for instance in simulation.entries.values()]
             nursery.cancel_scope.cancel()
-        self.assertEqual(beliefs, [fold(world.store.log) for _ in beliefs])
+        self.assertEqual(record_sets, [fold(simulation.store.log) for _ in record_sets])
 
     @virtual
     async def test_refused_entry_goes_by_what_follows_a_gap(self) -> None:
-        """The store refuses one entry, and it misses one word of its peers.
+        """The store refuses one instance, which also misses an update of its peers.
 
-        Each word after that doesn't follow on what it knows. Passed over, they
-        left it with runners that had gone for as long as the store refused it.
+        Later updates leave a gap to its offset. Guards against ignoring them, which kept
+        runners that had gone for as long as the store refused the instance.
         """
         for seed in SEEDS:
-            world = TopicWorld(5, seed)
+            simulation = TopicWorld(5, seed)
             async with trio.open_nursery() as nursery:
-                world.start(nursery)
-                world.write()
+                simulation.start(nursery)
+                simulation.write()
                 await trio.sleep(3)
-                world.store.refused.add('e0')
-                world.deaf.add('e0')
-                world.write()
+                simulation.store.refused.add('e0')
+                simulation.deaf.add('e0')
+                simulation.write()
                 await trio.sleep(3)
-                world.deaf.clear()
-                heard_from = len(world.store.log)
+                simulation.deaf.clear()
+                reachable_from = len(simulation.store.log)
                 for _ in range(BEFORE):
-                    world.write()
+                    simulation.write()
                     await trio.sleep(0.05)
                 await trio.sleep(3)
-                believed = world.entries['e0'].believed
+                records = simulation.entries['e0'].believed
                 nursery.cancel_scope.cancel()
-            newest = fold(world.store.log)
-            changed = _changed(world.store.log, heard_from)
-            self.assertEqual({key: believed.get(key) for key in changed}, {key: newest.get(key) for key in changed})
+            newest = fold(simulation.store.log)
+            changed = _changed(simulation.store.log, reachable_from)
+            self.assertEqual({key: records.get(key) for key in changed}, {key: newest.get(key) for key in changed})
 
 
 class BeliefsTest(TestCase):
-    """What an instance serves by, and what it writes again."""
+    """What instances use for serving after a rollback, and what they write again."""
 
     @virtual
     async def test_configuration_never_older(self) -> None:
-        """A key that was taken in the lost seconds stays taken; a newcomer learns it from the others.
+        """A key that was revoked in the lost seconds stays revoked, also at a new instance.
 
-        The store shows the older list until the operator writes the newer one
-        again, and an instance that starts meanwhile knows no other.
+        The store shows the older configuration until the operator writes the newer one again.
+        An instance that starts meanwhile gets the newer one from its peers.
         """
-        async with running_bed(_with_key(1, KEY), [plain_runner(1)], fronts=2) as bed:
+        async with running_bed(_with_key(1, KEY), [plain_runner(1)], fronts=2) as bench:
             await trio.sleep(LOST_S)
-            bed.publish(_with_key(2, 'another'))
+            bench.publish(_with_key(2, 'another'))
             await trio.sleep(1)
-            bed.store.go_back(LOST_S)
-            bed.add_front(3)
+            bench.store.go_back(LOST_S)
+            bench.add_front(3)
             await trio.sleep(SOON_S)
-            statuses = [await _status(bed, name) for name in bed.fronts]
+            statuses = [await _status(bench, name) for name in bench.fronts]
             await trio.sleep(SETTLED_S)
-            statuses += [await _status(bed, name) for name in bed.fronts]
+            statuses += [await _status(bench, name) for name in bench.fronts]
         self.assertEqual(statuses, [401 for _ in statuses])
 
     @virtual
     async def test_runners_of_the_lost_seconds(self) -> None:
-        """One that came stays in use, and one that leaves gets nothing, whatever the copy shows."""
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bed:
+        """A runner that joined stays in use and draining ones get no requests, although the copy lacks both changes."""
+        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bench:
             await trio.sleep(LOST_S + 1)
-            bed.add_runner(plain_runner(3))
-            bed.drain_runner('i-web1')
-            bed.drain_runner('i-web2')
+            bench.add_runner(plain_runner(3))
+            bench.drain_runner('i-web1')
+            bench.drain_runner('i-web2')
             await trio.sleep(SOON_S)
-            bed.store.go_back(LOST_S)
-            before = len(bed.runners['i-web1'].runs) + len(bed.runners['i-web2'].runs)
+            bench.store.go_back(LOST_S)
+            before = len(bench.runners['i-web1'].runs) + len(bench.runners['i-web2'].runs)
             for _ in range(20):
-                for name in bed.fronts:
-                    self.assertEqual(await _status(bed, name), 200)
+                for name in bench.fronts:
+                    self.assertEqual(await _status(bench, name), 200)
                 await trio.sleep(0.1)
-            # The runners write again, as all do.
-            for runner in bed.runners.values():
-                bed.store.put(RUNNER_TOPIC, runner.key, runner.record)
+            # The runners renew their records, as real ones do.
+            for runner in bench.runners.values():
+                bench.store.put(RUNNER_TOPIC, runner.key, runner.record)
             await trio.sleep(SETTLED_S)
-            self.assertEqual(await _status(bed, 'front-1'), 200)
-            after = len(bed.runners['i-web1'].runs) + len(bed.runners['i-web2'].runs)
+            self.assertEqual(await _status(bench, 'front-1'), 200)
+            after = len(bench.runners['i-web1'].runs) + len(bench.runners['i-web2'].runs)
         self.assertEqual(after, before)
 
     @virtual
     async def test_twin_that_takes_the_copy(self) -> None:
-        """Taken at once, the copy brings back a runner that leaves."""
+        """If the copy is applied at once, a draining runner gets requests again."""
         with patch.object(Watch, '_settling', _do_nothing):
-            async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bed:
+            async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
                 await trio.sleep(LOST_S + 1)
-                bed.drain_runner('i-web1')
+                bench.drain_runner('i-web1')
                 await trio.sleep(SOON_S)
-                bed.store.go_back(LOST_S)
+                bench.store.go_back(LOST_S)
                 await trio.sleep(SOON_S)
                 for _ in range(20):
-                    await _status(bed, 'front-1')
-                runs = len(bed.runners['i-web1'].runs)
+                    await _status(bench, 'front-1')
+                runs = len(bench.runners['i-web1'].runs)
         self.assertGreater(runs, 0)
 
     @virtual
     async def test_entry_registers_again(self) -> None:
-        """An entry that registered in the lost seconds is on the list again soon."""
-        async with running_bed(configuration(), [plain_runner(1)]) as bed:
+        """An instance that registered in the lost seconds registers again within 3 s."""
+        async with running_bed(configuration(), [plain_runner(1)]) as bench:
             await trio.sleep(LOST_S)
-            bed.add_front(2)
+            bench.add_front(2)
             await trio.sleep(1)
-            bed.store.go_back(LOST_S)
-            gone = set(bed.store.newest_of(ENTRY_TOPIC))
+            bench.store.go_back(LOST_S)
+            registered_after = set(bench.store.newest_of(ENTRY_TOPIC))
             await trio.sleep(3)
-            back = set(bed.store.newest_of(ENTRY_TOPIC))
-        self.assertEqual(gone, {'front-1'})
-        self.assertEqual(back, {'front-1', 'front-2'})
+            registered_later = set(bench.store.newest_of(ENTRY_TOPIC))
+        self.assertEqual(registered_after, {'front-1'})
+        self.assertEqual(registered_later, {'front-1', 'front-2'})
 
     @virtual
     async def test_quarantine_is_written_again(self) -> None:
-        """What all know of harmful requests is kept for those that start later."""
-        async with running_bed(configuration(), [plain_runner(1)], fronts=3) as bed:
+        """Instances write lost quarantine records again, for instances that start later."""
+        async with running_bed(configuration(), [plain_runner(1)], fronts=3) as bench:
             await trio.sleep(LOST_S)
             record = b'[["i-web9",0]]'
-            bed.store.put_raw(QUARANTINE_TOPIC, 'c1', record)
+            bench.store.put_raw(QUARANTINE_TOPIC, 'c1', record)
             written = trio.current_time()
-            # Records of this topic may be read some 15 s later: entries tell each other at once.
+            # This topic may be polled up to some 15 s later, since instances announce quarantines directly.
             with trio.fail_after(READ_S):
-                while not all(_quarantined(front, 'c1') for front in bed.fronts.values()):
+                while not all(_quarantined(front, 'c1') for front in bench.fronts.values()):
                     await trio.sleep(0.1)
-            bed.store.go_back(trio.current_time() - written + LOST_S / 2)
-            gone = set(bed.store.newest_of(QUARANTINE_TOPIC))
+            bench.store.go_back(trio.current_time() - written + LOST_S / 2)
+            keys_after = set(bench.store.newest_of(QUARANTINE_TOPIC))
             await trio.sleep(20)
-            back = bed.store.newest_of(QUARANTINE_TOPIC)
-        self.assertEqual(gone, set())
-        self.assertEqual(back, {'c1': record})
+            records_later = bench.store.newest_of(QUARANTINE_TOPIC)
+        self.assertEqual(keys_after, set())
+        self.assertEqual(records_later, {'c1': record})
 
 
 class EraTest(TestCase):
-    """What is taken for an era."""
+    """Epochs in answers of the store."""
 
     def test_counts(self) -> None:
-        """No count says nothing; unreadable, huge and fallen ones are no answers."""
+        """A missing epoch changes nothing; a malformed, huge or decreasing one counts as no answer."""
         era = StoreEra()
         self.assertEqual(era.take(()), 0)
         self.assertEqual(era.take(((STORE_ERA, b'4'),)), 4)
--- a/tests/front/test_usage.py
+++ b/tests/front/test_usage.py
@@ -1,4 +1,4 @@
-"""Reports on what accounts use: whole, in time, by one holder."""
+"""Usage reports of accounts: complete, in time, and sent by one lease holder."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 ENTRIES = 4
 FAULTS = 10
 REQUESTS_A_SECOND = 6
-# Seeds 1 to 12 were played by hand; CI plays these.
+# Seeds 1 to 12 were run by hand; CI runs these.
 SEEDS = range(1, 4)
 
 
@@ -42,17 +42,17 @@
 
 
 class Load:
-    """Callers of all entries, and what ran of theirs in each window."""
+    """Callers of all instances, and how many of their requests ran in each window."""
 
     def __init__(self, bed: PlatformBed, seed: int = 1) -> None:
-        """Ask ``bed`` for some requests a second."""
+        """Send some requests a second to ``bed``."""
         self.bed = bed
         self.truth: dict[int, Counter[str]] = {}
         self._rng = Random(seed)
 
     @asynccontextmanager
     async def under_way(self) -> AsyncIterator[None]:
-        """Ask until the end of the block."""
+        """Send requests until the end of the block."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run)
             yield
@@ -65,11 +65,11 @@
                 nursery.start_soon(self._ask, self._rng.choice(ACCOUNTS), self._rng.choice(sorted(self.bed.fronts)))
 
     async def _ask(self, name: str, front: str) -> None:
-        # It arrives and begins to run some 4 ms later; that is not worth a miss.
-        began = BEGAN_S + trio.current_time() + 0.004
-        seen = await self.bed.caller(front).ask(asked('/thumb/a', extra=(bearer(_key(name)),)))
-        if seen.status == 200:
-            self.truth.setdefault(int(began // DUTY.window_s), Counter())[name] += 1
+        # A request begins to run some 4 ms later, which matters at the end of a window.
+        began_s = BEGAN_S + trio.current_time() + 0.004
+        answer = await self.bed.caller(front).ask(asked('/thumb/a', extra=(bearer(_key(name)),)))
+        if answer.status == 200:
+            self.truth.setdefault(int(began_s // DUTY.window_s), Counter())[name] += 1
 
 
 def _holder(bed: PlatformBed) -> str:
@@ -81,177 +81,186 @@
 
 
 def _late(reports: list[Reported]) -> list[int]:
-    return [one.window for one in reports if BEGAN_S + one.at > (one.window + 1) * DUTY.window_s + LATE_S]
+    return [report.window for report in reports if BEGAN_S + report.at > (report.window + 1) * DUTY.window_s + LATE_S]
 
 
 class CalmTest(TestCase):
-    """Reports while nothing is wrong."""
+    """Reports without faults, apart from clocks that jump."""
 
     @virtual
     async def test_each_window_is_reported_whole(self) -> None:
-        """One call a window, exact, within a second of its end."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
-            load = Load(bed)
+        """One exact report a window, within 1 s of its end."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
+            load = Load(bench)
             async with load.under_way():
                 await trio.sleep(31)
-            found = bed.usage.counts()
-            self.assertGreaterEqual(len(found), 5)
-            self.assertEqual(len(bed.usage.came), len(found))
-            self.assertEqual(list(found), list(range(min(found), max(found) + 1)))
-            for window, counts in found.items():
+            reported = bench.usage.counts()
+            self.assertGreaterEqual(len(reported), 5)
+            self.assertEqual(len(bench.usage.came), len(reported))
+            self.assertEqual(list(reported), list(range(min(reported), max(reported) + 1)))
+            for window, counts in reported.items():
                 self.assertEqual(counts, dict(load.truth.get(window, {})))
             self.assertEqual(
-                [one for one in bed.usage.came if BEGAN_S + one.at > (one.window + 1) * DUTY.window_s + 1], []
+                [
+                    report
+                    for report in bench.usage.came
+                    if BEGAN_S + report.at > (report.window + 1) * DUTY.window_s + 1
+                ],
+                [],
             )
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
 
     @virtual
     async def test_time_of_day_jumps(self) -> None:
-        """A jump of some clocks for seconds moves no counts."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
-            load = Load(bed)
+        """Counts stay in their windows when some clocks jump by seconds."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
+            load = Load(bench)
             async with load.under_way():
                 await trio.sleep(11)
                 for name in ('front-1', 'front-2'):
-                    bed.clocks[name].off_s = 2
+                    bench.clocks[name].off_s = 2
                 await trio.sleep(10)
                 for name in ('front-1', 'front-2'):
-                    bed.clocks[name].off_s = 0
+                    bench.clocks[name].off_s = 0
                 await trio.sleep(10)
-            for window, counts in bed.usage.counts().items():
+            for window, counts in bench.usage.counts().items():
                 self.assertEqual(counts, dict(load.truth.get(window, {})))
 
 
 class HolderTest(TestCase):
-    """Holders that come and go."""
+    """Lease holders that fail, stop or are refused, and a store that rolls back."""
 
     @virtual
     async def test_holder_is_killed(self) -> None:
-        """Another one reports the windows that it left, in their time."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
+        """Another instance reports the windows that the killed holder had not, in time."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             await trio.sleep(12)
-            before = _holder(bed)
-            bed.kill_front(before)
-            bed.fronts.pop(before)
+            holder_before = _holder(bench)
+            bench.kill_front(holder_before)
+            bench.fronts.pop(holder_before)
             await trio.sleep(25)
-            windows = [one.window for one in bed.usage.came]
+            windows = [report.window for report in bench.usage.came]
             self.assertEqual(sorted(set(windows)), list(range(min(windows), max(windows) + 1)))
-            self.assertEqual(len({one.holder for one in bed.usage.came}), 2)
-            self.assertEqual(_late(bed.usage.came), [])
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(len({report.holder for report in bench.usage.came}), 2)
+            self.assertEqual(_late(bench.usage.came), [])
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
 
     @virtual
     async def test_lost_entry_is_not_waited_for(self) -> None:
-        """An entry is gone for good, and the store falls silent later for as long as reports have.
+        """Reports do not wait for the counts of a failed instance, which stays listed for 45 s.
 
-        It stays on the list for 45 s. Each window waited 6 s for its counts, and one was
-        still undecided when the store fell silent.
+        Guards against waiting 6 s in each window: when the store was silent for as long as
+        reports may take, one window was still undecided.
         """
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             await trio.sleep(11)
-            lost = next(name for name, front in bed.fronts.items() if not _holds(front))
-            bed.kill_front(lost)
-            bed.fronts.pop(lost)
+            failed = next(name for name, front in bench.fronts.items() if not _holds(front))
+            bench.kill_front(failed)
+            bench.fronts.pop(failed)
             await trio.sleep(10)
-            before = len(bed.usage.came)
+            count_before = len(bench.usage.came)
             await trio.sleep(11)
-            soon = [one for one in bed.usage.came[before:] if BEGAN_S + one.at < (one.window + 1) * DUTY.window_s + 1]
-            self.assertEqual(len(soon), 2)
+            prompt_reports = [
+                report
+                for report in bench.usage.came[count_before:]
+                if BEGAN_S + report.at < (report.window + 1) * DUTY.window_s + 1
+            ]
+            self.assertEqual(len(prompt_reports), 2)
 
     @virtual
     async def test_holder_is_stopped(self) -> None:
-        """It gives the duty back: the next one does not wait it out, and nothing is lost."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
+        """A stopped holder releases the lease: the next one takes over before it expires, and no window is lost."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             await trio.sleep(12)
-            before = _holder(bed)
+            holder_before = _holder(bench)
             stopped_at = trio.current_time()
-            await bed.fronts[before].wind_down()
-            bed.kill_front(before)
-            bed.fronts.pop(before)
-            while not any(_holds(front) for front in bed.fronts.values()):
+            await bench.fronts[holder_before].wind_down()
+            bench.kill_front(holder_before)
+            bench.fronts.pop(holder_before)
+            while not any(_holds(front) for front in bench.fronts.values()):
                 await trio.sleep(0.05)
-            # Callers still come for 3.2 s after the signal.
+            # The instance still serves callers for 3.2 s after the signal.
             self.assertLess(trio.current_time() - stopped_at, 6)
             await trio.sleep(15)
-            windows = sorted({one.window for one in bed.usage.came})
+            windows = sorted({report.window for report in bench.usage.came})
             self.assertEqual(windows, list(range(min(windows), max(windows) + 1)))
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
 
     @virtual
     async def test_answers_are_slow(self) -> None:
-        """A report that nobody has answered is sent again byte for byte."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
-            async with Load(bed).under_way():
+        """A report without an answer is sent again unchanged."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
+            async with Load(bench).under_way():
                 await trio.sleep(10)
-                bed.usage.slow_s = 3
+                bench.usage.slow_s = 3
                 await trio.sleep(8)
-                bed.usage.slow_s = 0
+                bench.usage.slow_s = 0
                 await trio.sleep(10)
-            self.assertGreater(len(bed.usage.came), len(bed.usage.counts()))
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
-            self.assertEqual(_late(bed.usage.came), [])
+            self.assertGreater(len(bench.usage.came), len(bench.usage.counts()))
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(_late(bench.usage.came), [])
 
     @virtual
     async def test_store_refuses_the_holder(self) -> None:
-        """It leaves off before another one begins, and is not back at once."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
+        """The refused holder stops before another one starts, and does not take over again right after."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             await trio.sleep(12)
-            before = bed.fronts[_holder(bed)].cfg
-            bed.store.refused.add(before.host)
+            settings_before = bench.fronts[_holder(bench)].cfg
+            bench.store.refused.add(settings_before.host)
             await trio.sleep(12)
-            after = _holder(bed)
-            bed.store.refused.clear()
+            holder_after = _holder(bench)
+            bench.store.refused.clear()
             await trio.sleep(10)
-            self.assertNotEqual(before.name, after)
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
-            self.assertEqual(_late(bed.usage.came), [])
+            self.assertNotEqual(settings_before.name, holder_after)
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(_late(bench.usage.came), [])
 
     @virtual
     async def test_store_went_back(self) -> None:
-        """Its newest records are gone, the report of a window among them, just as the holder is killed.
+        """A rollback loses the record of a report just as the holder is killed.
 
-        Another one knows nothing of that report. It reports none of the windows
-        that have ended rather than one of them with other counts.
+        The next holder does not know that report. It must skip all windows that have ended
+        rather than report one of them again with other counts.
         """
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
-            async with Load(bed).under_way():
-                while not bed.usage.came or trio.current_time() < 12:
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
+            async with Load(bench).under_way():
+                while not bench.usage.came or trio.current_time() < 12:
                     await trio.sleep(0.05)
-                before = _holder(bed)
-                bed.store.go_back(4)
-                bed.kill_front(before)
-                bed.fronts.pop(before)
+                holder_before = _holder(bench)
+                bench.store.go_back(4)
+                bench.kill_front(holder_before)
+                bench.fronts.pop(holder_before)
                 await trio.sleep(30)
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
-            self.assertEqual(len({one.holder for one in bed.usage.came}), 2)
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(len({report.holder for report in bench.usage.came}), 2)
 
     @virtual
     async def test_holder_goes_on_after_store_went_back(self) -> None:
-        """Who held it all the while knows what it has decided: no window is left out."""
-        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
+        """A holder that keeps the lease through a rollback knows its decisions, and misses no window."""
+        async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             await trio.sleep(12)
-            bed.store.go_back(4)
+            bench.store.go_back(4)
             await trio.sleep(25)
-            windows = sorted({one.window for one in bed.usage.came})
+            windows = sorted({report.window for report in bench.usage.came})
             self.assertEqual(windows, list(range(min(windows), max(windows) + 1)))
-            self.assertEqual(bed.usage.broken(DUTY.turns_s), [])
-            self.assertEqual(_late(bed.usage.came), [])
+            self.assertEqual(bench.usage.broken(DUTY.turns_s), [])
+            self.assertEqual(_late(bench.usage.came), [])
 
 
 class RandomTest(TestCase):
-    """Faults at random, with an oracle at the far end."""
+    """Random faults, with checks where reports arrive."""
 
     def test_random_faults(self) -> None:
-        """Kills, cuts, refusals, lost history, slow answers: no rule of holders is broken."""
+        """Kills, cuts, refusals, rollbacks and slow answers break no rule for reports."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_virtual(_faulty_minutes, seed, seed=seed), [])
 
     def test_twin_that_decides_anew(self) -> None:
-        """Without heeding what was decided before, a window is reported with other counts."""
+        """Without the decisions of the previous holder, a window is reported with other counts."""
         with patch.object(Reports, 'begin', _begin_anew):
-            found = [run_virtual(_faulty_minutes, seed, seed=seed) for seed in SEEDS]
-        self.assertTrue(any(found))
+            violations = [run_virtual(_faulty_minutes, seed, seed=seed) for seed in SEEDS]
+        self.assertTrue(any(violations))
 
 
 def _begin_anew(reports: Reports, found: object, era: int, wall_s: float, *, unbroken: bool) -> None:
@@ -260,15 +269,15 @@
 
 
 async def _faulty_minutes(seed: int) -> list[str]:
-    """Play faults, one every few seconds, and return what was broken."""
+    """Cause a fault every few seconds and return the violations."""
     rng = Random(seed)
-    async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bed:
-        async with Load(bed, seed).under_way():
+    async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
+        async with Load(bench, seed).under_way():
             await trio.sleep(8)
             for number in range(FAULTS):
-                await rng.choice((_kill, _cut, _refuse, _go_back, _slow, _stop_store))(bed, rng, number)
+                await rng.choice((_kill, _cut, _refuse, _go_back, _slow, _stop_store))(bench, rng, number)
                 await trio.sleep(rng.uniform(0.5, 6))
-        return bed.usage.broken(DUTY.turns_s)
+        return bench.usage.broken(DUTY.turns_s)
 
 
 async def _kill(bed: PlatformBed, rng: Random, number: int) -> None:
@@ -282,7 +291,10 @@
 
 async def _cut(bed: PlatformBed, rng: Random, _: int) -> None:
     host = rng.choice(sorted(front.cfg.host for front in bed.fronts.values()))
-    cut = [frozenset((host, far)) for far in ('10.9.0.1', '10.9.0.2', *(one.cfg.host for one in bed.fronts.values()))]
+    cut = [
+        frozenset((host, peer_host))
+        for peer_host in ('10.9.0.1', '10.9.0.2', *(front.cfg.host for front in bed.fronts.values()))
+    ]
     bed.network.cut.update(rng.sample(cut, 3))
     await trio.sleep(rng.uniform(1, 6))
     bed.network.cut.clear()
--- a/tests/front/test_usual_deadlines.py
+++ b/tests/front/test_usual_deadlines.py
@@ -1,4 +1,4 @@
-"""Who has tried before, by the time that callers have left."""
+"""Detection of retries by the time that callers have left."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ReturnedTest(TestCase):
-    """Against the longest deadline of a route lately."""
+    """Comparison with the longest recent deadline of the route."""
 
     def setUp(self) -> None:
-        """Know one first attempt of one route."""
+        """Record a first attempt of one route, with a deadline of 8 s."""
         self.usual = UsualDeadlines()
         self.usual.returned('tag', 8.0, now=0)
 
@@ -19,7 +19,7 @@
         self.assertTrue(self.usual.returned('tag', 5.2, now=1))
 
     def test_returned_spread_of_first_attempts(self) -> None:
-        """First attempts of one route differ by up to 15%."""
+        """Deadlines of first attempts of a route may differ by up to 15%."""
         self.assertFalse(self.usual.returned('tag', 6.8, now=1))
 
     def test_returned_other_route(self) -> None:
@@ -29,8 +29,8 @@
         self.assertFalse(self.usual.returned('tag', None, now=1))
 
     def test_returned_callers_shorten(self) -> None:
-        """Callers name shorter deadlines from now on; soon these are the usual ones."""
+        """Once callers use a shorter deadline, it soon counts as that of first attempts."""
         self.assertTrue(self.usual.returned('tag', 3.0, now=1))
         for moment in (WINDOW_S + 1, 2 * WINDOW_S + 2, 3 * WINDOW_S + 3):
-            found = self.usual.returned('tag', 3.0, now=moment)
-        self.assertFalse(found)
+            is_retry = self.usual.returned('tag', 3.0, now=moment)
+        self.assertFalse(is_retry)
--- a/tests/front/test_word_faults.py
+++ b/tests/front/test_word_faults.py
@@ -1,4 +1,4 @@
-"""Runners that leave, rest and name limits by their answers, among random faults by fixed seeds."""
+"""Random faults with runners that report draining, back-off and rate limits, by fixed seeds."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.front.word_faults import play
 
-# 21: the word that a runner leaves came in the answer to a request for the one before at its
-# address, and was dropped. 15, 24: the oracle counted requests that were turned away with the
-# name of another runner, and a leaving that was written while the store had just gone back.
+# Seeds that have failed. 21: a draining header was dropped because it came in the answer to a
+# request for the previous runner at the address. 15, 24: the checks counted requests that were
+# rejected since they named another runner, and draining written right after a store rollback.
 SEEDS = (1, 2, 15, 21, 24)
 TWIN_SEEDS = (1, 2, 3, 4)
 
@@ -30,25 +30,25 @@
 
 
 class WordFaultsTest(TestCase):
-    """What reaches runners under kills, cuts, lost words, and a store that is away, slow or gone back."""
+    """Requests that reach runners under kills, cuts, lost datagrams and store outages, delays and rollbacks."""
 
     def test_words_kept(self) -> None:
-        """Guards against requests to runners that did not want them, whatever befalls instances and the store."""
+        """Guards against requests to runners that are draining, in back-off or over their limit."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_virtual(play, seed, seed=seed), [])
 
 
 class WordTwinTest(TestCase):
-    """The oracle finds what each safeguard prevents."""
+    """The checks find the violation once its safeguard is removed."""
 
     def test_twin_that_heeds_no_leaving(self) -> None:
-        """Answers say that a runner leaves, and nobody heeds it."""
+        """Without the safeguard, instances ignore draining headers."""
         with patch.object(Belief, 'leave', _never):
             self._finds('leaving')
 
     def test_twin_that_heeds_no_rest(self) -> None:
-        """Answers ask for rest, and nobody heeds it."""
+        """Without the safeguard, instances ignore back-off headers."""
         with patch.object(Belief, 'room', _always_room), patch.object(Belief, 'rest_left_s', _no_rest):
             self._finds('rest')
 
--- a/tests/front/topic_world.py
+++ b/tests/front/topic_world.py
@@ -1,4 +1,4 @@
-"""Entries that follow one topic by turns, over a network and a store that misbehave."""
+"""A simulation of instances that follow one store topic by polling turns, over a faulty network and store."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
     from collections.abc import Iterable
 
 TOPIC = 'keyed.things'
-# As for runners that must be noticed within two seconds.
+# As for the topic of runners, whose changes must be known within 2 s.
 PACING = Pacing(wait_s=0.2, rest_s=0.4, spread_s=0.3)
 ANSWER_S = 0.004
 KEYS = tuple(f'k{number}' for number in range(12))
-# Most records only say that their writer is there, as those of runners do.
+# Most records are heartbeats that change nothing, as those of runners are.
 NEWS_SHARE = 0.15
 DROP_SHARE = 0.3
 
 
 def fold(records: Iterable[KeyedRecord]) -> dict[str, bytes]:
-    """Return the newest of each key, without those that were dropped."""
-    found: dict[str, bytes] = {}
+    """Return the newest text of each key, without deleted keys."""
+    newest: dict[str, bytes] = {}
     for record in records:
-        found.pop(record.key, None)
+        newest.pop(record.key, None)
         if record.text:
-            found[record.key] = record.text
-    return found
+            newest[record.key] = record.text
+    return newest
 
 
 class LogStore:
-    """A store that all entries read, and that may refuse some."""
+    """The log of a topic that all instances read; the store may refuse some of them."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -50,29 +50,29 @@
         self.era = 1
 
     def go_back(self, records: int) -> None:
-        """Come back from a copy that lacks the newest ``records``."""
+        """Start a new epoch from a copy that lacks the ``records`` newest records."""
         self.era += 1
         self.log = self.log[: len(self.log) - records]
 
 
 class StoreOf:
-    """The store as one entry has it."""
+    """A client of the store for one instance."""
 
     def __init__(self, name: str, store: LogStore) -> None:
-        """Call ``store`` as ``name``."""
+        """Send calls to ``store`` as the instance ``name``."""
         self.era = StoreEra()
         self._name = name
         self._store = store
 
     async def newest(self, _: str, patience_s: float) -> Newest:
-        """Return the newest of each key; ``patience_s`` is always enough."""
+        """Return the newest record of each key; the answer always comes within ``patience_s``."""
         await self._answer()
         log = self._store.log
         records = tuple(KeyedRecord(key, text) for key, text in fold(log).items())
         return Newest(records, len(log), self.era.known)
 
     async def follow(self, _: str, start: int, wait_s: float) -> Newest:
-        """Return what came after ``start``, waiting for it."""
+        """Return the records after offset ``start``; wait up to ``wait_s`` if there are none."""
         await self._answer()
         if len(self._store.log) <= start:
             await trio.sleep(wait_s)
@@ -93,20 +93,20 @@
 
 
 class Entry:
-    """One entry: its watch, and what it believes of the topic."""
+    """An instance: its watch of the topic, and the records that it knows."""
 
     def __init__(self, name: str, world: TopicWorld) -> None:
-        """Follow the topic of ``world``."""
+        """Follow the topic of the simulation."""
         self.name = name
         self.believed: dict[str, bytes] = {}
-        others = Others(name, lambda: len(world.entries), world.teller(name))
+        peers = Others(name, lambda: len(world.entries), world.teller(name))
         store = StoreOf(name, world.store)
-        taker = Taker(self._replace_all, self._update)
-        self.watch = Watch(store, TOPIC, PACING, taker, others, Random(name))  # type: ignore[arg-type]
+        handlers = Taker(self._replace_all, self._update)
+        self.watch = Watch(store, TOPIC, PACING, handlers, peers, Random(name))  # type: ignore[arg-type]
 
     @property
     def end(self) -> int | None:
-        """Return up to which offset the entry knows the topic."""
+        """Return the offset up to which the instance knows the topic."""
         return self.watch.turns.end
 
     def _replace_all(self, records: tuple[KeyedRecord, ...]) -> None:
@@ -120,10 +120,10 @@
 
 
 class TopicWorld:
-    """A store, entries, and datagrams between them that may be lost or late."""
+    """A store, instances, and datagrams between them that may be lost, delayed or duplicated."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
-        """Have ``count`` entries."""
+        """Create ``count`` instances."""
         self.rng = Random(seed)
         self.store = LogStore()
         self.loss: float = 0
@@ -137,18 +137,18 @@
         self._nursery: trio.Nursery
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run all entries in ``nursery``."""
+        """Run all instances in ``nursery``."""
         self._nursery = nursery
-        for entry in self.entries.values():
-            nursery.start_soon(self._run, entry)
+        for instance in self.entries.values():
+            nursery.start_soon(self._run, instance)
 
     def kill(self, name: str) -> None:
-        """End an entry."""
+        """Kill the instance ``name``."""
         self._scopes[name].cancel()
         self.entries.pop(name)
 
     def write(self) -> None:
-        """Append a record: mostly one that says the same as before."""
+        """Append a record, which mostly repeats the one before of its key."""
         key = self.rng.choice(KEYS)
         newest = fold(self.store.log).get(key, b'')
         text = newest or b'first'
@@ -157,27 +157,29 @@
         self.store.log.append(KeyedRecord(key, text))
 
     def teller(self, name: str):  # type: ignore[no-untyped-def]  # noqa: ANN201
-        """Return what tells all others than ``name``."""
+        """Return a function that sends an update of the instance ``name`` to all others."""
 
-        async def tell(news: News) -> None:
+        async def broadcast(topic_update: News) -> None:
             await trio.lowlevel.checkpoint()
-            for other in tuple(self.entries.values()):
-                if other.name != name:
-                    self._send(other, news)
+            for peer in tuple(self.entries.values()):
+                if peer.name != name:
+                    self._send(peer, topic_update)
 
-        return tell
+        return broadcast
 
     def wrong(self) -> list[str]:
-        """Return the entries that believe something else than the log says.
+        """Return the names of instances whose records differ from the log.
 
-        Of each key they know the log up to their offset, or up to the word that
-        told of the key ahead of it.
+        For each key, an instance knows the log up to its own offset, or up to the
+        out-of-order update that changed the key.
         """
-        return [entry.name for entry in self.entries.values() if entry.end is not None and self._is_wrong(entry)]
+        return [
+            instance.name for instance in self.entries.values() if instance.end is not None and self._is_wrong(instance)
+        ]
 
     def _is_wrong(self, entry: Entry) -> bool:
-        known = Place(self.store.era, entry.end or 0)
-        ends = {key: entry.watch.apart.place_of(key, known).end for key in KEYS}
+        position = Place(self.store.era, entry.end or 0)
+        ends = {key: entry.watch.apart.place_of(key, position).end for key in KEYS}
         return any(entry.believed.get(key) != fold(self.store.log[:end]).get(key) for key, end in ends.items())
 
     def _send(self, other: Entry, news: News) -> None:
--- a/tests/front/waiters.py
+++ b/tests/front/waiters.py
@@ -1,4 +1,4 @@
-"""Builders of waiting requests, before prefill engines and one that decodes."""
+"""A test bench with queued requests, prefill engines and one decode engine."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from sesamepoint.http1.transport import SocketNetwork
 from tests.front.builders import no_limits, open_gate
 
-# Seconds that an answer takes besides its reading.
+# Time of an answer after the prefill.
 REST_S = 0.06
 
 
@@ -36,10 +36,10 @@
 
 
 class LinesBed:
-    """Lines before a fleet of engines, and a backlog to tell words of peers to."""
+    """The queues of a fleet of engines, and a backlog that takes reports of peers."""
 
     def __init__(self, readers: int = 2) -> None:
-        """Start with nobody waiting, before ``readers`` engines that only prefill."""
+        """Start with empty queues, ``readers`` prefill engines and one decode engine."""
         self.fleet = Fleet(2.0, SocketNetwork(), trio.current_time, open_gate())
         for number, stage in enumerate((*(Stage.prefill for _ in range(readers)), Stage.decode)):
             address = Address('10.0.0.1', number)
@@ -49,7 +49,7 @@
         self.lines = Lines(Chooser(self.known, 'z1', self.backlog, no_limits()), self.backlog)
 
     def waiter(self, route: Route, work_s: float, *, returned: bool = False) -> Waiter:
-        """Return a request that waits for a prefill engine to read it for ``work_s``."""
+        """Return a queued request whose prefill takes ``work_s``; ``returned`` marks a retry of its caller."""
         now = trio.current_time()
         prompt = Prompt('m', (), 1000, 10)
         req = FrontRequest('q', 'x', '/', RequestHead(b'POST', b'/', ()), b'', now, 5.0, prompt)
--- a/tests/front/word_faults.py
+++ b/tests/front/word_faults.py
@@ -1,4 +1,4 @@
-"""Runners that say of themselves that they leave, rest or take no more than a limit, among random faults.
+"""Random faults with runners that report draining, back-off and rate limits in their answers.
 
 Run by hand: python -m tests.front.word_faults FIRST-SEED LAST-SEED
 """
@@ -23,12 +23,12 @@
 
 RESTS = (b'1', b'3', b'8')
 LONGEST_BACK_S = 4.0
-# The store is stable when it has been without disruption for so long, in seconds; then users count.
+# The store counts as stable after so long without a disruption; bounds on requests apply only then.
 STABLE_S = 3.0
 
 
 class WordWorld(LimitWorld):
-    """Runners say all three words, while the store is up, away, slow or back, and instances start again."""
+    """Runners send all three status headers; the store fails, slows down or rolls back, and instances restart."""
 
     def __init__(self, bed: PlatformBed, rng: Random) -> None:
         """Draw all from ``rng``."""
@@ -38,20 +38,20 @@
         self._steps = (*self._steps, *words, *words, self._end_rests, self._store_back, self._cut_peers)
 
     def over_words(self) -> list[str]:
-        """Return the runners that got what they did not want."""
+        """Return violations: requests to runners that were draining or in back-off."""
         runners = self.runners()
-        found = [text for runner in runners for text in requests_after_leaving(runner, self._started_between)[:1]]
-        return found + [text for runner in runners for text in in_rest(runner, excused=self._started_between)[:1]]
+        violations = [text for runner in runners for text in requests_after_leaving(runner, self._started_between)[:1]]
+        return violations + [text for runner in runners for text in in_rest(runner, excused=self._started_between)[:1]]
 
     def _started_between(self, host: str, since: float, until: float) -> bool:
         return any(since <= at <= until for at in self.starts.get(host, ()))
 
     def _unsaid(self) -> RunnerStandIn:
-        """Return a runner that has not said that it leaves."""
-        return self._rng.choice([one for one in self.bed.runners.values() if not one.says_leaving])
+        """Return a runner that does not report draining."""
+        return self._rng.choice([runner for runner in self.bed.runners.values() if not runner.says_leaving])
 
     def _say_leaving(self) -> None:
-        """Have a runner leave by its answers alone; another one comes in its place."""
+        """Have a runner report draining in its answers only, and add a replacement."""
         runner = self._unsaid()
         self._replacement(runner)
         runner.says_leaving = (b'1',)
@@ -76,16 +76,16 @@
                 runner.faults = Faults()
 
     def _drain_one(self) -> None:
-        """Have a runner leave by its registration, not so soon after the store went back.
+        """Drain a runner through its registration, unless the store has just rolled back.
 
-        What is written before an instance has read the new history may be passed over until
-        the runner writes again, as real ones do each second.
+        An instance may miss what is written before it has read the new history, until the
+        runner writes again, as real ones do each second.
         """
         if trio.current_time() - self._back_at > STABLE_S:
             super()._drain_one()
 
     def _store_back(self) -> None:
-        """Have the store come back from an older copy, with registrations that call leaving runners ready."""
+        """Roll the store back to an older copy whose registrations show draining runners as ready."""
         self._back_at = trio.current_time()
         self.bed.store.go_back(self._rng.uniform(0, LONGEST_BACK_S))
         for runner in self.bed.runners.values():
@@ -98,14 +98,14 @@
 
 
 async def play(seed: int) -> list[str]:
-    """Play one seed and return the broken promises."""
+    """Run one seed and return the violations."""
     rng = Random(seed)
     runners = [plain_runner(number) for number in range(1, 5)]
     runners += [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 8)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bed:
-        world = WordWorld(bed, rng)
-        await world.play()
-        return [*broken_promises(world), *world.over_limits(), *world.over_words()]
+    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+        simulation = WordWorld(bench, rng)
+        await simulation.play()
+        return [*broken_promises(simulation), *simulation.over_limits(), *simulation.over_words()]
 
 
 if __name__ == '__main__':
