--- a/tests/front/test_named_limits.py
+++ b/tests/front/test_named_limits.py
@@ -190,8 +190,8 @@
         async with running_bed(configuration(), plain_runners(4), fronts=FRONTS) as bench:
             began = trio.current_time()
             answers = await send(bench, Random(1), Load(fetch, 60, LENGTH_S))
-            used_share = used(bench, began + KNOWN_S, began + LENGTH_S)
-        self.assertGreaterEqual(used_share, USED)
+            limit_use = used(bench, began + KNOWN_S, began + LENGTH_S)
+        self.assertGreaterEqual(limit_use, USED)
         refused = [one for one in answers if one.status == NOT_RUN]
         self.assertEqual(len(refused) + sum(one.status == GOOD for one in answers), len(answers))
         immediate = sum(one.took_s < AT_ONCE_S for one in refused)
@@ -205,8 +205,8 @@
         async with running_bed(configuration(), engines(4), fronts=FRONTS) as bench:
             began = trio.current_time()
             await send(bench, Random(1), Load(short_prompt, 60, LENGTH_S))
-            used_share = used(bench, began + KNOWN_S, began + LENGTH_S)
-        self.assertGreaterEqual(used_share, USED)
+            limit_use = used(bench, began + KNOWN_S, began + LENGTH_S)
+        self.assertGreaterEqual(limit_use, USED)
 
     @virtual
     async def test_large_prompts_are_read_apart(self) -> None:
@@ -226,8 +226,8 @@
         async with running_bed(configuration(), plain_runners(4), fronts=FRONTS) as bench:
             began = trio.current_time()
             await send(bench, Random(1), Load(fetch, 60, LENGTH_S), ['front-2'])
-            used_share = used(bench, began + KNOWN_S, began + LENGTH_S)
-        self.assertGreaterEqual(used_share, USED)
+            limit_use = used(bench, began + KNOWN_S, began + LENGTH_S)
+        self.assertGreaterEqual(limit_use, USED)
 
     @virtual
     async def test_others_take_over(self) -> None:
