--- a/tests/front/topic_world.py
+++ b/tests/front/topic_world.py
@@ -148,7 +148,7 @@
         self.entries.pop(name)
 
     def write(self) -> None:
-        """Append a record, which mostly repeats the one before of its key."""
+        """Append a record, which mostly repeats the newest one of its key."""
         key = self.rng.choice(KEYS)
         newest = fold(self.store.log).get(key, b'')
         text = newest or b'first'
--- a/tests/front/waiters.py
+++ b/tests/front/waiters.py
@@ -23,7 +23,7 @@
 from sesamepoint.http1.transport import SocketNetwork
 from tests.front.builders import no_limits, open_gate
 
-# Time of an answer after the prefill.
+# Duration of an answer after its prefill.
 REST_S = 0.06
 
 
