--- a/tests/front/test_usage.py
+++ b/tests/front/test_usage.py
@@ -188,7 +188,7 @@
 
     @virtual
     async def test_answers_are_slow(self) -> None:
-        """A report without an answer is sent again unchanged."""
+        """A report without an answer is sent again byte for byte."""
         async with running_bed(_configuration(), [plain_runner(1)], ENTRIES, DUTY) as bench:
             async with Load(bench).under_way():
                 await trio.sleep(10)
