--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -15,21 +15,21 @@
 import trio
 
 from sesamepoint_core.registry import Registry
-from sesamepoint_core.serving import paths
+from sesamepoint_core.serving import placement
 from sesamepoint.front.backlog import Backlog
-from sesamepoint.front.choice import Chooser
-from sesamepoint.front.inventory import Inventory
-from sesamepoint.front.lines import Lines, Waiter
+from sesamepoint.front.cache_inventory import CacheInventory
+from sesamepoint.front.engine_queue import EngineQueue
 from sesamepoint.front.peers import Peers
-from sesamepoint.front.usual_deadlines import UsualDeadlines
-from sesamepoint.front.waiting import WaitingRoom
+from sesamepoint.front.queue_triage import QueueTriage, Waiter
+from sesamepoint.front.retry_detection import RetryDetector
+from sesamepoint.front.runner_selection import RunnerSelector
 from sesamepoint_standins.virtual_time import run_virtual
-from tests.front.burst import LONG_TARGET_S, REFUSED, SHORT_TARGET_S, play_burst, served
+from tests.front.burst import LONG_TARGET_S, SHORT_TARGET_S, STATUS_REFUSED, run_burst, served_share
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from tests.front.burst import Answered
+    from tests.front.burst import AnsweredRequest
 
     Switch = Callable[[ExitStack], None]
 
@@ -67,18 +67,18 @@
 
 
 def _play(seed: int) -> Row:
-    long, short = run_virtual(play_burst, seed)
+    long, short = run_virtual(run_burst, seed)
     return Row(
-        PERCENT * served(long, LONG_TARGET_S),
-        PERCENT * served(long, math.inf),
-        PERCENT * served(short, SHORT_TARGET_S),
-        PERCENT * sum(one.seen.status == REFUSED for one in long) / len(long),
+        PERCENT * served_share(long, LONG_TARGET_S),
+        PERCENT * served_share(long, math.inf),
+        PERCENT * served_share(short, SHORT_TARGET_S),
+        PERCENT * sum(one.answer.status == STATUS_REFUSED for one in long) / len(long),
         _unanswered([*long, *short]),
     )
 
 
-def _unanswered(found: list[Answered]) -> int:
-    return sum(not one.seen.whole for one in found)
+def _unanswered(found: list[AnsweredRequest]) -> int:
+    return sum(not one.answer.complete for one in found)
 
 
 def _mean(rows: list[Row]) -> Row:
@@ -99,42 +99,42 @@
 
 @SWITCHES.register('words between entries')
 def _no_words(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Peers, 'tell', _forever))
+    stack.enter_context(patch.object(Peers, 'broadcast_sends', _forever))
 
 
 @SWITCHES.register('holding work at the entry')
 def _no_holding(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(WaitingRoom, 'holds', _never))
+    stack.enter_context(patch.object(EngineQueue, 'must_queue', _never))
 
 
 @SWITCHES.register('lots before long sends')
 def _no_lots(stack: ExitStack) -> None:
-    stack.enter_context(patch('sesamepoint.front.waiting.BACK_OFF_S', 0))
+    stack.enter_context(patch('sesamepoint.front.engine_queue.MAX_JITTER_S', 0))
 
 
 @SWITCHES.register('refusing what is late for others')
 def _no_rivals(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Lines, 'rivals', _none))
+    stack.enter_context(patch.object(QueueTriage, 'count_timely', _none))
 
 
 @SWITCHES.register('knowing who comes back')
 def _no_returned(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(UsualDeadlines, 'returned', _never))
+    stack.enter_context(patch.object(RetryDetector, 'is_retry', _never))
 
 
 @SWITCHES.register('going first at last call')
 def _no_last_call(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Waiter, 'last_call', new=False))
+    stack.enter_context(patch.object(Waiter, 'urgent_retry', new=False))
 
 
 @SWITCHES.register('serving small work late')
 def _no_small(stack: ExitStack) -> None:
-    stack.enter_context(patch('sesamepoint.front.lines.SMALL_WORK_S', 0))
+    stack.enter_context(patch('sesamepoint.front.queue_triage.SMALL_WORK_S', 0))
 
 
 @SWITCHES.register('pricing engine time by the line')
 def _no_price(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Chooser, '_price', _one))
+    stack.enter_context(patch.object(RunnerSelector, '_queue_price', _one))
 
 
 @SWITCHES.register('what the others hold')
@@ -144,12 +144,12 @@
 
 @SWITCHES.register('asking engines what they keep')
 def _no_inventory(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Inventory, 'run', _forever))
+    stack.enter_context(patch.object(CacheInventory, 'run', _forever))
 
 
 @SWITCHES.register('order of decode engines')
 def _no_order(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(paths, 'ORDER_S', 0))
+    stack.enter_context(patch.object(placement, 'ORDER_S', 0))
 
 
 async def _forever(*_: object) -> None:
@@ -165,7 +165,7 @@
 
 
 def _one(*_: object) -> float:
-    return paths.OTHERS_WEIGHT
+    return placement.QUEUED_WEIGHT
 
 
 def _empty(*_: object) -> list[object]:
--- a/benchmarks/front_slopes.py
+++ b/benchmarks/front_slopes.py
@@ -15,23 +15,23 @@
 import trio
 
 from sesamepoint_core.serving.address import Address
-from sesamepoint_core.serving.paths import EngineView, Speeds, best_path
+from sesamepoint_core.serving.placement import EngineView, Speeds, best_placement
 from sesamepoint_core.serving.prompt import Part
-from sesamepoint_core.serving.rate import ReadSpeed
-from sesamepoint_core.serving.suspects import Suspects
+from sesamepoint_core.serving.speed_meters import PrefillSpeed
+from sesamepoint_core.serving.poison_requests import SuspectRequests
 from sesamepoint_core.serving.runner import Runner, Stage
 from sesamepoint.front.fleet import Fleet
-from sesamepoint.front.gate import Gate
+from sesamepoint.front.send_check import SendCheck
 from sesamepoint.front.runner_limits import RunnerLimits
-from sesamepoint.front.sends import End, Send, SendNotes, Word
+from sesamepoint.front.engine_sends import Send, SendEnd, SendTracker, SendUpdate
 from sesamepoint.http1.transport import SocketNetwork
 from sesamepoint.platform.configuration import decode_configuration
-from sesamepoint.platform.registration import decode_runner
+from sesamepoint.platform.runner_registration import decode_runner
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-SPEEDS = Speeds(ReadSpeed(0.036, 1 / 112_000, 0), 2_500_000, 0.15, 0.04, 0.4, 0.4)
+SPEEDS = Speeds(PrefillSpeed(0.036, 1 / 112_000, 0), 2_500_000, 0.15, 0.04, 0.4, 0.4)
 ROUNDS = 200
 MICRO = 1e6
 
@@ -40,7 +40,7 @@
     """Print each slope as cost over size."""
     for count in (10, 60, 600):
         views = tuple(EngineView(f'i{number}', _stage(number), 0.01 * number, 3000 + number) for number in range(count))
-        _say(f'choice among {count} engines: {_cost(partial(best_path, views, SPEEDS, 17_000)):.0f} us')
+        _say(f'choice among {count} engines: {_cost(partial(best_placement, views, SPEEDS, 17_000)):.0f} us')
     for count in (16, 400, 3100):
         text = _configuration(count)
         _say(f'configuration of {count} routes: {len(text)} bytes, {_cost(partial(decode_configuration, text)):.0f} us')
@@ -51,21 +51,24 @@
 
 async def _words() -> None:
     fleet = Fleet(
-        2.0, SocketNetwork(), trio.current_time, Gate.from_limits(RunnerLimits('front-1', Random(1)), Suspects())
+        2.0,
+        SocketNetwork(),
+        trio.current_time,
+        SendCheck.from_limits(RunnerLimits('front-1', Random(1)), SuspectRequests()),
     )
     fleet.update(_runner())
-    notes = SendNotes('front-1', fleet, _NoRandom())  # type: ignore[arg-type]
+    notes = SendTracker('front-1', fleet, _NoRandom())  # type: ignore[arg-type]
     parts = (Part('8f3e21ab', 55), Part('17aa90cc', 13_300), Part('c0ffee12', 3720))
     for count in (1, 10):
         sends = tuple(Send(number, 'i-0', 0.03, 17_000, parts) for number in range(count))
-        ends = tuple(End(number, 'i-0', finished=True) for number in range(count))
-        datagram = msgspec.msgpack.encode(Word('front-2', sends, ends))
+        ends = tuple(SendEnd(number, 'i-0', finished=True) for number in range(count))
+        datagram = msgspec.msgpack.encode(SendUpdate('front-2', sends, ends))
         taken = _cost(partial(_take_in, notes, datagram))
         _say(f'word with {count} sends and ends: {len(datagram)} bytes, {taken:.0f} us to take in')
 
 
-def _take_in(notes: SendNotes, datagram: bytes) -> None:
-    notes.heard(msgspec.msgpack.decode(datagram, type=Word))
+def _take_in(notes: SendTracker, datagram: bytes) -> None:
+    notes.on_peer_update(msgspec.msgpack.decode(datagram, type=SendUpdate))
 
 
 def _say(line: str) -> None:
@@ -87,7 +90,7 @@
 
 
 def _runner() -> Runner:
-    return Runner('i-0', 'llm', Address('10.0.0.1', 80), 'z1', 24, leaving=False, stage=Stage.decode)
+    return Runner('i-0', 'llm', Address('10.0.0.1', 80), 'z1', 24, draining=False, stage=Stage.decode)
 
 
 def _registration() -> dict[str, object]:
--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -11,17 +11,17 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, NamedTuple
 
-from sesamepoint_core.runner_limit.belief import LimitBelief
-from sesamepoint_core.runner_limit.pacer import Pacer
-from sesamepoint_core.runner_limit.sharing import Sharing, Wish
+from sesamepoint_core.runner_limit.known_limit import KnownLimit
+from sesamepoint_core.runner_limit.messages import AddressedMessage, LimitUpdate, PermitGrant, PermitRequest
+from sesamepoint_core.runner_limit.shared_limit import Demand, SharedLimit
 from sesamepoint_core.runner_limit.stamp import Stamp
-from sesamepoint_core.runner_limit.words import Ask, Grant, Letter, Told
-from sesamepoint_standins.platform.limit_world import LimitWorld
+from sesamepoint_core.runner_limit.token_bucket import TokenBucket
+from sesamepoint_standins.platform.limit_simulation import LimitSimulation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from sesamepoint_standins.platform.limit_world import NewWay
+    from sesamepoint_standins.platform.limit_simulation import StrategyFactory
 
 LIMIT = 6.8
 KEEP_S = 1.0
@@ -39,58 +39,58 @@
 class _Alone:
     """What the other ways have in common: a belief that is told to all, and permits of a pace."""
 
-    def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
-        self.belief = LimitBelief(start)
+    def __init__(self, name: str, runner: str, incarnation: int, share_usable_from: float, phase: float) -> None:
+        self.known = KnownLimit(incarnation)
         self._name = name
-        self._start = start
+        self._incarnation = incarnation
         self._members: tuple[str, ...] = (name,)
-        self._pacer = Pacer(phase)
-        self._told_at = -math.inf
-        self._wish = Wish(0)
+        self._bucket = TokenBucket(phase)
+        self._announced_at = -math.inf
+        self._demand = Demand(0)
 
-    def join(self, others: Iterable[str]) -> None:
+    def update_members(self, others: Iterable[str]) -> None:
         self._members = (self._name, *others)
 
-    def wish(self, wish: Wish) -> None:
-        self._wish = wish
+    def update_demand(self, demand: Demand) -> None:
+        self._demand = demand
 
-    def stock(self, now: float) -> int:
-        self._pace(now)
-        return self._pacer.ready(now)
+    def available(self, now: float) -> int:
+        self._update_rate(now)
+        return self._bucket.available(now)
 
     def take(self, now: float) -> bool:
-        if not self.stock(now):
+        if not self.available(now):
             return False
-        self._pacer.take()
+        self._bucket.take()
         return True
 
-    def heard(self, sender: str, word: Ask | Grant, now: float) -> bool:
-        return word.told is not None and self.belief.told(word.told.word(now))
+    def on_message(self, sender: str, message: PermitRequest | PermitGrant, now: float) -> bool:
+        return message.limit is not None and self.known.on_peer_update(message.limit.to_reported(now))
 
-    def step(self, now: float) -> list[Letter]:
-        self._pace(now)
-        if self.belief.word is None or now < self._tells_at():
+    def step(self, now: float) -> list[AddressedMessage]:
+        self._update_rate(now)
+        if self.known.reported is None or now < self._next_announcement_at():
             return []
-        self._told_at = now
+        self._announced_at = now
         return self._to_all(0, now)
 
     def next_at(self, now: float) -> float:
-        return max(min(self._tells_at(), self._pacer.next_at()), now)
+        return max(min(self._next_announcement_at(), self._bucket.next_at()), now)
 
     def _share(self, now: float) -> float:
         return 1 / len(self._members)
 
-    def _pace(self, now: float) -> None:
-        limit = self.belief.allowed(now) or 0
-        self._pacer.pace(limit * self._share(now), KEEP_S if limit else 0, now)
+    def _update_rate(self, now: float) -> None:
+        limit = self.known.allowed_rate(now) or 0
+        self._bucket.update_rate(limit * self._share(now), KEEP_S if limit else 0, now)
 
-    def _tells_at(self) -> float:
-        return self._told_at + TELL_S * max(1, len(self._members) / FEW)
+    def _next_announcement_at(self) -> float:
+        return self._announced_at + TELL_S * max(1, len(self._members) / FEW)
 
-    def _to_all(self, permits: int, now: float) -> list[Letter]:
-        told = Told.of(self.belief.word, now) if self.belief.word else None
-        word = Grant(0, Stamp(self._start, now), permits, 0, told)
-        return [Letter(name, word) for name in self._members[1:]]
+    def _to_all(self, permits: int, now: float) -> list[AddressedMessage]:
+        told = LimitUpdate.of(self.known.reported, now) if self.known.reported else None
+        word = PermitGrant(0, Stamp(self._incarnation, now), permits, 0, told)
+        return [AddressedMessage(name, word) for name in self._members[1:]]
 
 
 class EqualShares(_Alone):
@@ -100,26 +100,26 @@
 class SharesByDemand(_Alone):
     """Each instance tells all how many permits it wanted lately, and has a part by that."""
 
-    def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
-        super().__init__(name, runner, start, own_from, phase)
+    def __init__(self, name: str, runner: str, incarnation: int, share_usable_from: float, phase: float) -> None:
+        super().__init__(name, runner, incarnation, share_usable_from, phase)
         self._wanted: float = 0
         self._asked_at: float = 0
         self._others: dict[str, tuple[float, float]] = {}
 
-    def wish(self, wish: Wish) -> None:
-        super().wish(wish)
-        self._wanted = 0.9 * self._wanted + 0.1 * wish.permits
+    def update_demand(self, demand: Demand) -> None:
+        super().update_demand(demand)
+        self._wanted = 0.9 * self._wanted + 0.1 * demand.permits
 
-    def heard(self, sender: str, word: Ask | Grant, now: float) -> bool:
-        if isinstance(word, Grant):
-            self._others[sender] = (word.permits / 1000, now)
-        return super().heard(sender, word, now)
+    def on_message(self, sender: str, message: PermitRequest | PermitGrant, now: float) -> bool:
+        if isinstance(message, PermitGrant):
+            self._others[sender] = (message.permits / 1000, now)
+        return super().on_message(sender, message, now)
 
-    def step(self, now: float) -> list[Letter]:
-        self._pace(now)
-        if self.belief.word is None or now < self._tells_at():
+    def step(self, now: float) -> list[AddressedMessage]:
+        self._update_rate(now)
+        if self.known.reported is None or now < self._next_announcement_at():
             return []
-        self._told_at = now
+        self._announced_at = now
         return self._to_all(round(self._wanted * 1000), now)
 
     def _share(self, now: float) -> float:
@@ -131,49 +131,49 @@
 class AllSendsSeen(_Alone):
     """Each instance tells all of each send, and sends if the sum of the last second has room for it."""
 
-    def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
-        super().__init__(name, runner, start, own_from, phase)
+    def __init__(self, name: str, runner: str, incarnation: int, share_usable_from: float, phase: float) -> None:
+        super().__init__(name, runner, incarnation, share_usable_from, phase)
         self._sends: list[float] = []
         self._untold = 0
         self._heard_at: dict[str, float] = {}
 
-    def stock(self, now: float) -> int:
-        limit = self.belief.allowed(now) or 0
+    def available(self, now: float) -> int:
+        limit = self.known.allowed_rate(now) or 0
         heard = 1 + sum(now - at < HEARD_S * max(1, len(self._members) / FEW) for at in self._heard_at.values())
         self._sends = [at for at in self._sends if now - at < SEND_S]
         return int(limit * min(heard / len(self._members), 1) * SEND_S - len(self._sends))
 
     def take(self, now: float) -> bool:
-        if self.stock(now) < 1:
+        if self.available(now) < 1:
             return False
         self._sends.append(now)
         self._untold += 1
         return True
 
-    def heard(self, sender: str, word: Ask | Grant, now: float) -> bool:
+    def on_message(self, sender: str, message: PermitRequest | PermitGrant, now: float) -> bool:
         self._heard_at[sender] = now
-        if isinstance(word, Grant):
-            self._sends.extend(repeat(now, word.permits))
-        return super().heard(sender, word, now)
+        if isinstance(message, PermitGrant):
+            self._sends.extend(repeat(now, message.permits))
+        return super().on_message(sender, message, now)
 
-    def step(self, now: float) -> list[Letter]:
-        if self.belief.word is None or (now < self._tells_at() and not self._untold):
+    def step(self, now: float) -> list[AddressedMessage]:
+        if self.known.reported is None or (now < self._next_announcement_at() and not self._untold):
             return []
-        self._told_at = now
+        self._announced_at = now
         untold = self._untold
         self._untold = 0
         return self._to_all(untold, now)
 
     def next_at(self, now: float) -> float:
-        return now if self._untold else max(self._tells_at(), now)
+        return now if self._untold else max(self._next_announcement_at(), now)
 
 
-WAYS: MappingProxyType[str, NewWay] = MappingProxyType(
+WAYS: MappingProxyType[str, StrategyFactory] = MappingProxyType(
     {
         'equal shares': EqualShares,
         'shares by demand': SharesByDemand,
         'all sends seen by all': AllSendsSeen,
-        'shares lent, permits given by one': Sharing,
+        'shares lent, permits given by one': SharedLimit,
     }
 )
 
@@ -186,12 +186,12 @@
     words: float
 
 
-def calm(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
+def calm(new_way: StrategyFactory, instances: int, load: float, seed: int) -> Played:
     """Play an even demand without faults."""
     return _count(_world(new_way, instances, load, seed))
 
 
-def one_has_all(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
+def one_has_all(new_way: StrategyFactory, instances: int, load: float, seed: int) -> Played:
     """Play with one instance that has nearly all the demand."""
     world = _world(new_way, instances, 0, seed)
     for name, instance in world.instances.items():
@@ -199,31 +199,31 @@
     return _count(world)
 
 
-def moving(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
+def moving(new_way: StrategyFactory, instances: int, load: float, seed: int) -> Played:
     """Play with all the demand at one instance, another one each two seconds."""
     world = _world(new_way, instances, 0, seed)
     world.instances['front-0'].rate = load
     world.run(SETTLE_S)
-    world.network.words = 0
+    world.network.message_count = 0
     since = world.now
     for step in range(int(LENGTH_S / 2)):
         for number, instance in enumerate(world.instances.values()):
             instance.rate = load if number == step % instances else 0
         world.run(2)
-    return Played(world.taken(since), world.excess(since), world.network.words / LENGTH_S)
+    return Played(world.used_share(since), world.max_excess(since), world.network.message_count / LENGTH_S)
 
 
-def cut_off(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
+def cut_off(new_way: StrategyFactory, instances: int, load: float, seed: int) -> Played:
     """Play with one half of the instances cut off from the other half, not from the runner."""
     world = _world(new_way, instances, load, seed)
-    world.cut(list(world.instances)[: instances // 2])
+    world.partition(list(world.instances)[: instances // 2])
     return _count(world)
 
 
-def words_lost(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
+def words_lost(new_way: StrategyFactory, instances: int, load: float, seed: int) -> Played:
     """Play with three words in ten lost."""
     world = _world(new_way, instances, load, seed)
-    world.network.lost = 0.3
+    world.network.loss_share = 0.3
     return _count(world)
 
 
@@ -249,22 +249,22 @@
             sys.stdout.flush()
 
 
-def _world(new_way: NewWay, instances: int, load: float, seed: int) -> LimitWorld:
-    world = LimitWorld(seed, new_way)
+def _world(new_way: StrategyFactory, instances: int, load: float, seed: int) -> LimitSimulation:
+    world = LimitSimulation(seed, new_way)
     for number in range(instances):
         world.add(f'front-{number}', load / instances)
-    world.name_limit(LIMIT)
+    world.change_limit(LIMIT)
     world.run(BEGIN_S)
     return world
 
 
-def _count(world: LimitWorld) -> Played:
+def _count(world: LimitSimulation) -> Played:
     # What all send before anybody has heard of the limit does not count.
     world.run(SETTLE_S)
-    world.network.words = 0
+    world.network.message_count = 0
     since = world.now
     world.run(LENGTH_S)
-    return Played(world.taken(since), world.excess(since), world.network.words / LENGTH_S)
+    return Played(world.used_share(since), world.max_excess(since), world.network.message_count / LENGTH_S)
 
 
 if __name__ == '__main__':
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -15,9 +15,9 @@
 from sesamepoint_core.config.check import parse_configuration
 from sesamepoint_core.fold.records import Publish
 from sesamepoint.control.follower import Follower
-from sesamepoint.process.web import serve_web
-from sesamepoint_standins.log import MemoryInstances, MemoryLog
-from sesamepoint_standins.web import PlatformApp
+from sesamepoint.process.asgi_server import serve_asgi
+from sesamepoint_standins.asgi_apps import PlatformApp
+from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 from sesamectl.demo.deployment import PLATFORM, DemoDeployment
 from tests.builders import configuration
 
@@ -62,7 +62,7 @@
     cfg = parse_configuration(msgspec.json.encode(configuration(size=1)))
     deployment = DemoDeployment(cfg, ENTRY_PORT, instances)
     async with trio.open_nursery() as nursery:
-        await nursery.start(serve_web, PlatformApp(log, instances), PLATFORM)
+        await nursery.start(serve_asgi, PlatformApp(log, instances), PLATFORM)
         nursery.start_soon(deployment.run)
         operator = Follower(log, cfg['deployment'], 'bench', SystemRandom())
         nursery.start_soon(operator.follow)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -30,13 +30,13 @@
 from sesamepoint.link.grpc_server import serve_agent
 from sesamepoint.link.messages import BeatRequest, LoadReport
 from sesamepoint.control.follower import Follower
-from sesamepoint.platform.http import HttpCaller
+from sesamepoint.platform.http_client import HttpClient
 from sesamepoint.platform.http_log import HttpLog
-from sesamepoint.process.web import serve_web
+from sesamepoint.process.asgi_server import serve_asgi
 from sesamepoint_standins.engine import Engine
 from sesamepoint_standins.memory_engine import MemoryEngine
-from sesamepoint_standins.log import MemoryInstances, MemoryLog
-from sesamepoint_standins.web import PlatformApp
+from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
+from sesamepoint_standins.asgi_apps import PlatformApp
 from tests.builders import FoldBuilder, publish
 
 if TYPE_CHECKING:
@@ -272,8 +272,8 @@
 async def _read_over_http(reads: int) -> None:
     log = MemoryLog()
     async with trio.open_nursery() as nursery:
-        await nursery.start(serve_web, PlatformApp(log, MemoryInstances()), f'127.0.0.1:{BENCH_PORT}')
-        client = HttpLog(HttpCaller('log', f'http://127.0.0.1:{BENCH_PORT}'))
+        await nursery.start(serve_asgi, PlatformApp(log, MemoryInstances()), f'127.0.0.1:{BENCH_PORT}')
+        client = HttpLog(HttpClient('log', f'http://127.0.0.1:{BENCH_PORT}'))
         for _ in range(reads):
             await client.read('control.boat-bazaar', 0, 0)
         nursery.cancel_scope.cancel()
--- a/packages/sesamectl/src/sesamectl/burn.py
+++ b/packages/sesamectl/src/sesamectl/burn.py
@@ -24,7 +24,7 @@
     start_s
         Seconds since the first line.
     counts
-        Requests by outcome: ``on_time``, ``late``, ``refused``, ``failed``,
+        Requests by outcome: ``on_time``, ``late``, ``refused``, ``note_failed``,
         ``left``.
     """
 
--- a/packages/sesamectl/src/sesamectl/caller_search.py
+++ b/packages/sesamectl/src/sesamectl/caller_search.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sesamepoint.front.cause import Cause
+from sesamepoint.front.failure_cause import FailureCause
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -13,14 +13,14 @@
 
 NOT_RUN = frozenset(
     (
-        Cause.refused,
-        Cause.denied,
-        Cause.limited,
-        Cause.resting,
-        Cause.leaving,
-        Cause.no_runner,
-        Cause.turned_away,
-        Cause.not_run_in_time,
+        FailureCause.refused,
+        FailureCause.denied,
+        FailureCause.rate_limited,
+        FailureCause.backed_off,
+        FailureCause.draining,
+        FailureCause.no_runner,
+        FailureCause.rejected_by_runners,
+        FailureCause.not_run_in_time,
     )
 )
 
@@ -62,9 +62,9 @@
     """Return whether a request has run, as far as the entry can know."""
     if ended.cause in NOT_RUN or not ended.sends:
         return 'it has not run, and never will'
-    if ended.cause is Cause.runner_failed:
+    if ended.cause is FailureCause.runner_failed:
         return 'it ran, and failed at its runner'
-    if ended.cause is Cause.none and ended.whole:
+    if ended.cause is FailureCause.none and ended.whole:
         return 'it ran, and the whole answer was sent'
     return 'it may have run, in part or whole: ask the runners named'
 
--- a/packages/sesamectl/src/sesamectl/commands/base.py
+++ b/packages/sesamectl/src/sesamectl/commands/base.py
@@ -10,10 +10,10 @@
 from sesamepoint_core.errors import SesamepointError
 from sesamepoint_core.registry import Registry
 from sesamepoint.control.follower import Follower
-from sesamepoint.incarnation import new_incarnation
-from sesamepoint.platform.http import HttpCaller
+from sesamepoint.platform.http_client import HttpClient
 from sesamepoint.platform.http_log import HttpLog
 from sesamepoint.single_error import single_error
+from sesamepoint.unique_ids import new_incarnation
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
 
 
 async def _follow(url: str, deployment: str, use: Callable[[Follower], Awaitable[ResultT]]) -> ResultT:
-    log = HttpLog(HttpCaller('log', url))
+    log = HttpLog(HttpClient('log', url))
     rng = SystemRandom()
     follower = Follower(log, deployment, new_incarnation('sesamectl', rng), rng)
     async with trio.open_nursery() as nursery:
--- a/packages/sesamectl/src/sesamectl/commands/explain.py
+++ b/packages/sesamectl/src/sesamectl/commands/explain.py
@@ -9,7 +9,7 @@
 import trio
 
 from sesamepoint.control.decisions import Decision
-from sesamepoint.platform.http import HttpCaller
+from sesamepoint.platform.http_client import HttpClient
 from sesamepoint.settings_error import SettingsError
 from sesamepoint.single_error import single_error
 from sesamectl.caller_search import Search, find_requests
@@ -36,9 +36,9 @@
         return _search(arguments)
     if arguments['--content']:
         return _search_content(arguments)
-    caller = HttpCaller('entry', f'http://{arguments["--entry"]}')
+    caller = HttpClient('entry', f'http://{arguments["--entry"]}')
     with single_error():
-        reply = trio.run(caller.call, 'GET', '/decisions', b'', TIMEOUT_S)
+        reply = trio.run(caller.request, 'GET', '/decisions', b'', TIMEOUT_S)
     if arguments['--json']:
         return reply.decode()
     decisions = msgspec.json.decode(reply, type=tuple[Decision, ...])
--- a/packages/sesamectl/src/sesamectl/demo/deployment.py
+++ b/packages/sesamectl/src/sesamectl/demo/deployment.py
@@ -7,14 +7,14 @@
 import trio
 
 from sesamepoint.process.agent_process import AgentProcess
+from sesamepoint.process.asgi_server import serve_asgi
 from sesamepoint.process.entry_process import EntryProcess
-from sesamepoint.process.web import serve_web
+from sesamepoint_standins.asgi_apps import EngineApp, PlainApp
 from sesamepoint_standins.engine import Engine
-from sesamepoint_standins.web import EngineApp, PlainApp
 
 if TYPE_CHECKING:
     from sesamepoint_core.config.model import Configuration
-    from sesamepoint_standins.log import MemoryInstances
+    from sesamepoint_standins.memory_platform import MemoryInstances
 
 ROLE_CHANGE_S = 2.0
 UPSTREAM_PORTS = 400
@@ -53,12 +53,12 @@
         """Start an agent in a runner's slot."""
         self._scopes[runner] = trio.CancelScope()
         self._agents[runner] = AgentProcess.from_config(self._agent_settings(runner))
-        self._instances.put(self.cfg['runners'][runner]['agent'], leaving=False)
+        self._instances.put(self.cfg['runners'][runner]['agent'], draining=False)
         self._nursery.start_soon(self._run_agent, runner, self._agents[runner], self._scopes[runner])
 
     async def replace_agent(self, runner: str) -> None:
         """Stop an agent gracefully, as the platform does, and start another."""
-        self._instances.put(self.cfg['runners'][runner]['agent'], leaving=True)
+        self._instances.put(self.cfg['runners'][runner]['agent'], draining=True)
         await self._agents[runner].wind_down()
         self._scopes[runner].cancel()
         await trio.sleep(1)
@@ -73,13 +73,13 @@
         fleet = self.cfg['fleets'][cfg['fleet']]
         address = _shifted(cfg['agent'], UPSTREAM_PORTS)
         if fleet['kind'] == 'plain':
-            await self._nursery.start(serve_web, PlainApp(), address)
+            await self._nursery.start(serve_asgi, PlainApp(), address)
             return
         engine = Engine(fleet['roles'].get(runner, 'mixed'), checks_fencing=cfg['checks_fencing'])
         engine.role_change_s = ROLE_CHANGE_S
         self.engines[runner] = engine
         self._nursery.start_soon(engine.run)
-        await self._nursery.start(serve_web, EngineApp(engine), address)
+        await self._nursery.start(serve_asgi, EngineApp(engine), address)
 
     def _agent_settings(self, runner: str) -> Any:
         cfg = self.cfg['runners'][runner]
--- a/packages/sesamectl/src/sesamectl/demo/load.py
+++ b/packages/sesamectl/src/sesamectl/demo/load.py
@@ -11,7 +11,7 @@
 
 from sesamepoint.link.messages import DEADLINE_PASSED
 from sesamepoint_core.units import MS_PER_S
-from sesamepoint_standins.engine_model import answer_text, seed_of
+from sesamepoint_standins.engine_model import answer_seed, answer_text
 
 if TYPE_CHECKING:
     from sesamectl.demo.deployment import DemoDeployment
@@ -88,7 +88,7 @@
             tag = 'late' if error['code'] == DEADLINE_PASSED else error['outcome']
             self.ended.append(CallEnd(call.main, tag, right=True, took_s=took_s))
             return
-        right = found['choices'][0]['text'] == answer_text(seed_of(call.prompt.encode()), 0, call.tokens)
+        right = found['choices'][0]['text'] == answer_text(answer_seed(call.prompt.encode()), 0, call.tokens)
         tag = 'answered' if took_s * MS_PER_S <= TIMEOUT_MS else 'late'
         self.ended.append(CallEnd(call.main, tag, right, took_s))
 
--- a/packages/sesamectl/src/sesamectl/demo/platform.py
+++ b/packages/sesamectl/src/sesamectl/demo/platform.py
@@ -11,11 +11,11 @@
 import trio
 
 from sesamepoint_core.units import MS_PER_S
-from sesamepoint_standins.platform.caller import Asked
-from sesamepoint_standins.platform.processes import ProcessBed, caller_of, running_processes
+from sesamepoint_standins.platform.caller import RequestSpec
+from sesamepoint_standins.platform.process_bench import ProcessBench, new_caller, open_process_bench
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.platform.caller import Seen
+    from sesamepoint_standins.platform.caller import CallerAnswer
 
 HOST = 'boats.example'
 CALLERS = 4
@@ -45,15 +45,15 @@
 
 async def run_platform_demo() -> PlatformEnd:
     """Serve all kinds of request at two fronts, one of which is stopped meanwhile."""
-    found: defaultdict[str, list[Seen]] = defaultdict(list)
+    found: defaultdict[str, list[CallerAnswer]] = defaultdict(list)
     wrong: list[str] = []
     with tempfile.TemporaryDirectory() as folder:
-        async with running_processes(_configuration(), Path(folder), fronts=2) as bed:
+        async with open_process_bench(_configuration(), Path(folder), fronts=2) as bed:
             await _play(bed, found, wrong)
     return PlatformEnd((*_table(found), *wrong), not wrong)
 
 
-def _table(found: dict[str, list[Seen]]) -> list[str]:
+def _table(found: dict[str, list[CallerAnswer]]) -> list[str]:
     rows = [f'{kind:10} asked {len(seen):4}  p50 {_middle_ms(seen):4.0f} ms' for kind, seen in sorted(found.items())]
     return [
         *rows,
@@ -61,7 +61,7 @@
     ]
 
 
-async def _play(bed: ProcessBed, found: defaultdict[str, list[Seen]], wrong: list[str]) -> None:
+async def _play(bed: ProcessBench, found: defaultdict[str, list[CallerAnswer]], wrong: list[str]) -> None:
     async with trio.open_nursery() as nursery:
         for number in range(CALLERS):
             nursery.start_soon(_call, bed, number, found, wrong)
@@ -71,7 +71,7 @@
             await bed.fronts[0].process.wait()
 
 
-async def _call(bed: ProcessBed, number: int, found: defaultdict[str, list[Seen]], wrong: list[str]) -> None:
+async def _call(bed: ProcessBench, number: int, found: defaultdict[str, list[CallerAnswer]], wrong: list[str]) -> None:
     started = trio.current_time()
     count = 0
     while trio.current_time() - started < LOAD_S:
@@ -80,18 +80,20 @@
             # Callers of the first front go to the second when it is stopped.
             front = bed.fronts[0 if number % 2 and trio.current_time() - started < LOAD_S / 2 else 1]
             asked = _asked(kind, f'{kind}-{number}-{count}')
-            seen = await caller_of(front).ask(asked)
+            seen = await new_caller(front).send(asked)
             found[kind].append(seen)
-            if (seen.status, seen.body, seen.whole) != (200, asked.expected, True):
-                wrong.append(f'{asked.request_id}: status {seen.status}, whole {seen.whole}')
+            if (seen.status, seen.body, seen.complete) != (200, asked.expected_body, True):
+                wrong.append(f'{asked.request_id}: status {seen.status}, whole {seen.complete}')
         await trio.sleep(PAUSE_S)
 
 
-def _asked(kind: str, request_id: str) -> Asked:
+def _asked(kind: str, request_id: str) -> RequestSpec:
     if kind in {'card', 'thumb'}:
-        return Asked(request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S)
+        return RequestSpec(request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S)
     own = LONG_TOKENS if kind == 'verdict' else SHORT_TOKENS
-    return Asked(request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S, parts=(SHARED, (request_id, own)), output=8)
+    return RequestSpec(
+        request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S, parts=(SHARED, (request_id, own)), output=8
+    )
 
 
 def _configuration() -> dict[str, object]:
@@ -114,7 +116,7 @@
     return {**base, 'timeout_ms': 5000, 'target_latency_ms': 400, 'gap_aim_ms': 150, 'max_attempts': 1}
 
 
-def _middle_ms(seen: list[Seen]) -> float:
+def _middle_ms(seen: list[CallerAnswer]) -> float:
     return sorted(one.took_s for one in seen)[len(seen) // 2] * MS_PER_S
 
 
--- a/packages/sesamectl/src/sesamectl/demo/run.py
+++ b/packages/sesamectl/src/sesamectl/demo/run.py
@@ -14,10 +14,10 @@
 from sesamepoint_core.config.check import parse_configuration
 from sesamepoint_core.fold.records import Publish, SwitchPreset
 from sesamepoint.control.follower import Follower
-from sesamepoint.incarnation import new_incarnation
-from sesamepoint.process.web import serve_web
-from sesamepoint_standins.log import MemoryInstances, MemoryLog
-from sesamepoint_standins.web import PlatformApp
+from sesamepoint.process.asgi_server import serve_asgi
+from sesamepoint.unique_ids import new_incarnation
+from sesamepoint_standins.asgi_apps import PlatformApp
+from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 from sesamectl.commands.check import load_configuration
 from sesamectl.demo.deployment import PLATFORM, DemoDeployment
 from sesamectl.demo.load import Load
@@ -65,7 +65,7 @@
     instances = MemoryInstances()
     lines: list[str] = []
     async with trio.open_nursery() as nursery:
-        await nursery.start(serve_web, PlatformApp(log, instances), PLATFORM)
+        await nursery.start(serve_asgi, PlatformApp(log, instances), PLATFORM)
         ends: list[DemoEnd] = []
         async with trio.open_nursery() as users:
             for user in USERS:
@@ -114,9 +114,9 @@
 
 
 def _end(user: User, deployment: DemoDeployment, load: Load) -> DemoEnd:
-    cut = sum(engine.cut_off_by_order for engine in deployment.engines.values())
+    cut = sum(engine.dropped_by_order for engine in deployment.engines.values())
     wrong = sum(not call.right for call in load.ended)
-    doubled = sum(count > 1 for engine in deployment.engines.values() for count in engine.runs.values())
+    doubled = sum(count > 1 for engine in deployment.engines.values() for count in engine.run_counts.values())
     return DemoEnd(tuple(_lines(user, deployment, load)), not (cut or wrong or doubled))
 
 
--- a/packages/sesamectl/src/sesamectl/ended.py
+++ b/packages/sesamectl/src/sesamectl/ended.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sesamepoint import events
-from sesamepoint.front.cause import Cause
+from sesamepoint.front.failure_cause import FailureCause
 from sesamectl.log_lines import decode_line
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     refused: bool
     on_time: bool
     returned: bool
-    cause: Cause
+    cause: FailureCause
     target_ms: int
     took_ms: int
     held_ms: int
@@ -109,7 +109,7 @@
 
 
 def read_ended(logs: Iterable[str]) -> EndedRead:
-    """Return the ends of all requests in ``logs``, in any order, each once."""
+    """Return the ends of all requests in ``log_paths``, in any order, each once."""
     found = EndedRead([], Counter())
     named: set[str] = set()
     seen: set[tuple[str, str]] = set()
--- a/packages/sesamectl/src/sesamectl/experiment/faults.py
+++ b/packages/sesamectl/src/sesamectl/experiment/faults.py
@@ -7,7 +7,7 @@
 from sesamepoint_core.registry import Registry
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.bed import Bed
+    from sesamepoint_standins.deployment_bench import DeploymentBench
 
 STALE_REPORTS_S = 5.0
 
@@ -15,7 +15,7 @@
 class Fault(Protocol):
     """One kind of fault; ``on`` tells whether it begins or ends."""
 
-    def __call__(self, bed: Bed, target: str, *, on: bool) -> None:
+    def __call__(self, bed: DeploymentBench, target: str, *, on: bool) -> None:
         """Bring the fault about, or take it away."""
 
 
@@ -23,7 +23,7 @@
 
 
 @FAULTS.register('engine-lost')
-def engine_lost(bed: Bed, target: str, *, on: bool) -> None:
+def engine_lost(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Crash a runner's engine, and keep it down."""
     bed.upstreams[target].reachable = not on
     if on:
@@ -31,33 +31,33 @@
 
 
 @FAULTS.register('runner-drained')
-def runner_drained(bed: Bed, target: str, *, on: bool) -> None:
+def runner_drained(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Let the platform list a runner's instance as leaving."""
-    bed.instances.put(bed.configuration['runners'][target]['agent'], leaving=on)
+    bed.instances.put(bed.configuration['runners'][target]['agent'], draining=on)
 
 
 @FAULTS.register('reports-late')
-def reports_late(bed: Bed, target: str, *, on: bool) -> None:
+def reports_late(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Let all engines report their load seconds late."""
     for engine in bed.engines.values():
         engine.report_extra_lag_s = STALE_REPORTS_S if on else 0
 
 
 @FAULTS.register('reports-gone')
-def reports_gone(bed: Bed, target: str, *, on: bool) -> None:
+def reports_gone(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Freeze the load that all engines report."""
     for engine in bed.engines.values():
         engine.reports_frozen = on
 
 
 @FAULTS.register('log-outage')
-def log_outage(bed: Bed, target: str, *, on: bool) -> None:
+def log_outage(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Take the log away."""
-    bed.log.faults.away = on
+    bed.log.faults.unavailable = on
 
 
 @FAULTS.register('leader-killed')
-def leader_killed(bed: Bed, target: str, *, on: bool) -> None:
+def leader_killed(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Kill the entry that holds a fleet's lease; a new one starts later."""
     if on:
         for name, started in bed.entries.items():
@@ -71,7 +71,7 @@
 
 
 @FAULTS.register('zone-lost')
-def zone_lost(bed: Bed, target: str, *, on: bool) -> None:
+def zone_lost(bed: DeploymentBench, target: str, *, on: bool) -> None:
     """Crash every engine of an availability zone and keep it down."""
     for name, runner in bed.configuration['runners'].items():
         if runner['availability_zone'] == target:
--- a/packages/sesamectl/src/sesamectl/experiment/run.py
+++ b/packages/sesamectl/src/sesamectl/experiment/run.py
@@ -9,8 +9,8 @@
 
 from sesamepoint_core.answer.outcome import Answered, NotRun
 from sesamepoint_core.fold.records import SwitchPreset
-from sesamepoint_standins.bed import Bed
-from sesamepoint_standins.engine_model import answer_text, seed_of
+from sesamepoint_standins.deployment_bench import DeploymentBench
+from sesamepoint_standins.engine_model import answer_seed, answer_text
 from sesamepoint_standins.virtual_time import run_virtual
 from sesamectl.experiment.arrivals import Arrival, arrivals
 from sesamectl.experiment.faults import FAULTS
@@ -39,7 +39,7 @@
 class Ended(NamedTuple):
     """How one request ended for its caller.
 
-    ``first_s`` is the time to the first token; ``gap_s`` the mean time
+    ``first_byte_s`` is the time to the first token; ``gap_s`` the mean time
     between two tokens after it; both are None where there was none.
     """
 
@@ -92,12 +92,12 @@
                     nursery.start_soon(self._call, bed, arrival)
             return self._finished(bed)
 
-    def _open(self) -> AbstractAsyncContextManager[Bed]:
+    def _open(self) -> AbstractAsyncContextManager[DeploymentBench]:
         trial = self._trial
         fleets = frozenset(kind['fleet'] for kind in trial.scenario['classes'].values())
-        return Bed.open(dict(trial.configuration), trial.seed, policy=trial.policy, fleets=fleets)
+        return DeploymentBench.open(dict(trial.configuration), trial.seed, policy=trial.policy, fleets=fleets)
 
-    async def _call(self, bed: Bed, arrival: Arrival) -> None:
+    async def _call(self, bed: DeploymentBench, arrival: Arrival) -> None:
         """Send a request; come back when told to, as often as the caller may."""
         ended = await self._call_once(bed, arrival)
         for _ in range(arrival.client_retries):
@@ -106,23 +106,23 @@
                 ended = await self._call_once(bed, arrival)
         self._ended.append(ended)
 
-    async def _call_once(self, bed: Bed, arrival: Arrival) -> Ended:
+    async def _call_once(self, bed: DeploymentBench, arrival: Arrival) -> Ended:
         seen = _Caller()
         started = trio.current_time()
         entry = self._entry(bed)
         outcome = await bed.entries[entry].entry.serve(arrival.req, seen.emit)
-        expected = answer_text(seed_of(arrival.req.job.body), 0, arrival.req.job.output_tokens)
+        expected = answer_text(answer_seed(arrival.req.job.body), 0, arrival.req.job.output_tokens)
         whole = not isinstance(outcome, Answered) or seen.text == expected
         took_s = trio.current_time() - started
         return Ended(arrival, outcome, took_s, seen.first_s(started), seen.gap_s(), whole)
 
-    def _entry(self, bed: Bed) -> str:
+    def _entry(self, bed: DeploymentBench) -> str:
         """Return the next entry, as a balancer would."""
         self._next_entry += 1
         names = sorted(bed.entries)
         return names[self._next_entry % len(names)]
 
-    def _finished(self, bed: Bed) -> Finished:
+    def _finished(self, bed: DeploymentBench) -> Finished:
         engines = bed.engines.values()
         torn = sum(not ended.whole for ended in self._ended)
         decisions = [decision for started in bed.entries.values() for decision in started.entry.decisions.newest()]
@@ -130,16 +130,16 @@
             ended=tuple(self._ended),
             role_changes=sum(len(engine.orders) for engine in engines),
             duplicates=self._duplicates(bed),
-            cut_off=torn + sum(engine.cut_off_by_order for engine in engines),
+            cut_off=torn + sum(engine.dropped_by_order for engine in engines),
             decisions=tuple(sorted(decisions, key=lambda found: found.at)),
         )
 
-    def _duplicates(self, bed: Bed) -> int:
+    def _duplicates(self, bed: DeploymentBench) -> int:
         """Count the requests that may run once only and ran more often."""
         runs: Counter[int] = Counter()
         for engine in bed.engines.values():
-            runs.update(engine.runs_by_seed)
-        once = {seed_of(ended.arrival.req.job.body) for ended in self._ended if not ended.arrival.req.repeatable}
+            runs.update(engine.run_counts_by_seed)
+        once = {answer_seed(ended.arrival.req.job.body) for ended in self._ended if not ended.arrival.req.repeatable}
         return sum(runs[seed] > 1 for seed in once)
 
 
@@ -170,14 +170,14 @@
         return (self._times[-1] - self._times[0]) / tokens if tokens else None
 
 
-async def _at(when: float, switch: Callable[..., None], bed: Bed, target: str, on: bool) -> None:  # noqa: FBT001
+async def _at(when: float, switch: Callable[..., None], bed: DeploymentBench, target: str, on: bool) -> None:  # noqa: FBT001
     await trio.sleep_until(when)
     switch(bed, target, on=on)
 
 
-async def _switch(bed: Bed, when: float, preset: str) -> None:
+async def _switch(bed: DeploymentBench, when: float, preset: str) -> None:
     await trio.sleep_until(when)
-    async with bed.operator() as operator:
+    async with bed.operator_follower() as operator:
         await operator.submit(SwitchPreset(operator.state.version, 'scenario', preset))
 
 
--- a/packages/sesamectl/src/sesamectl/experiment/scenario.py
+++ b/packages/sesamectl/src/sesamectl/experiment/scenario.py
@@ -9,7 +9,7 @@
 from typing_extensions import NotRequired, TypedDict
 
 from sesamepoint_core.config.model import Name, NonNegative, Positive, Share
-from sesamepoint.settings.load import checked, read_document
+from sesamepoint.settings.load import read_document, validate_settings
 
 SHIPPED = Path(__file__).parent / 'scenarios'
 _CLOSED = ConfigDict(extra='forbid')
@@ -21,7 +21,7 @@
 class ArrivalClass(TypedDict):
     """One kind of request and how it arrives.
 
-    ``rate`` is a line through points of seconds and requests a second,
+    ``speed_meters`` is a line through points of seconds and requests a second,
     repeated every ``period_s`` if that is given. Lengths are drawn evenly
     from their ranges, in tokens. Of ``prefixes`` shared heads, one is drawn
     for each request. ``client_retries`` is how often a caller that was told
@@ -99,7 +99,7 @@
     SettingsError
         On the first thing that is wrong, with its path in the document.
     """
-    return checked(source.path, _merged(source), Scenario)
+    return validate_settings(source.path, _merged(source), Scenario)
 
 
 def _merged(source: Source) -> Any:
--- a/packages/sesamectl/src/sesamectl/loss.py
+++ b/packages/sesamectl/src/sesamectl/loss.py
@@ -49,7 +49,7 @@
     Parameters
     ----------
     requests, worth, time_s
-        What was lost: see :class:`Lost`.
+        What was lost: see :class:`FailedPeer`.
     """
 
     name: tuple[str, ...]
--- a/packages/sesamectl/src/sesamectl/request_walk.py
+++ b/packages/sesamectl/src/sesamectl/request_walk.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from sesamepoint import events
-from sesamepoint.front.cause import Cause
+from sesamepoint.front.failure_cause import FailureCause
 from sesamepoint_core.errors import SesamepointError
 from sesamectl.ended import FIRST_REDIRECT
 from sesamectl.log_lines import decode_line
@@ -25,13 +25,13 @@
     event.number
     for event in (
         events.RUNNER_EJECTED,
-        events.RUNNER_LEAVING,
-        events.RUNNER_GONE,
+        events.RUNNER_DRAINING,
+        events.RUNNER_UNREGISTERED,
         events.ATTEMPT_ENDED,
-        events.LIMIT_NAMED,
+        events.LIMIT_REPORTED,
         events.LIMIT_ENDED,
-        events.LEAVING_SAID,
-        events.REST_ASKED,
+        events.DRAINING_REPORTED,
+        events.BACK_OFF_REQUESTED,
     )
 )
 
@@ -39,9 +39,9 @@
 # By what its runners have said of themselves.
 _REFUSED_BY_WORDS: Mapping[str, str] = MappingProxyType(
     {
-        Cause.limited: 'refused: its runners name limits, and it had no place among what they take in its time',
-        Cause.resting: 'refused: its runners had asked for rest, and none ended in its time',
-        Cause.leaving: 'refused: all runners of its service leave, and no other one is registered',
+        FailureCause.rate_limited: 'refused: its runners name limits, and it had no place among what they take in its time',
+        FailureCause.backed_off: 'refused: its runners had asked for rest, and none ended in its time',
+        FailureCause.draining: 'refused: all runners of its service leave, and no other one is registered',
     }
 )
 
@@ -126,9 +126,9 @@
 def _broken_off(end: dict[str, Any], kinds: set[int]) -> str:
     if events.ATTEMPT_ENDED.number in kinds:
         return 'broken off: its runner broke off, and it may not run again'
-    if events.CALLER_LEFT.number in kinds and end.get('first_total_ms') is None:
+    if events.CALLER_DISCONNECTED.number in kinds and end.get('first_total_ms') is None:
         return 'the caller left before the first of its answer'
-    if events.CALLER_LEFT.number in kinds:
+    if events.CALLER_DISCONNECTED.number in kinds:
         return 'the caller left in the middle of its answer'
     return 'broken off at its deadline'
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/accounts.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/account_limits.py
@@ -10,11 +10,11 @@
 MAX_ACCOUNTS = 10_000
 
 
-class Bucket(NamedTuple):
+class AccountBucket(NamedTuple):
     """The requests that an account may send at once, and the time of that state in seconds."""
 
-    credit: float
-    at: float
+    tokens: float
+    updated_at: float
 
 
 class AccountLimits:
@@ -28,9 +28,9 @@
 
     def __init__(self) -> None:
         """Start without accounts."""
-        self._buckets: OrderedDict[str, Bucket] = OrderedDict()
+        self._buckets: OrderedDict[str, AccountBucket] = OrderedDict()
 
-    def wait_s(self, now: float, account: str, rate: float, entries: float) -> float:
+    def wait_s(self, now: float, account: str, rate: float, instances: float) -> float:
         """Take a token for one request; return 0, or the seconds until there is one.
 
         Parameters
@@ -41,15 +41,15 @@
             Account that the request counts against.
         rate
             Requests a second over all instances.
-        entries
+        instances
             Number of instances.
         """
-        share = rate / max(entries, 1)
+        share = rate / max(instances, 1)
         burst = max(share * BURST_S, 1)
-        bucket = self._buckets.pop(account, Bucket(burst, now))
-        credit = min(bucket.credit + (now - bucket.at) * share, burst)
+        bucket = self._buckets.pop(account, AccountBucket(burst, now))
+        credit = min(bucket.tokens + (now - bucket.updated_at) * share, burst)
         granted = credit >= 1
-        self._buckets[account] = Bucket(credit - granted, now)
+        self._buckets[account] = AccountBucket(credit - granted, now)
         if len(self._buckets) > MAX_ACCOUNTS:
             self._buckets.popitem(last=False)
         return 0 if granted else (1 - credit) / share
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/margin.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/deadline_margin.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 # Growth of the share by each late answer, and relative decay by each answer on time.
-GROWTH = 0.02
-FADING = 0.01
+LATE_INCREMENT = 0.02
+DECAY = 0.01
 MAX_MARGIN = 0.15
 
 
-class Margin:
+class DeadlineMargin:
     """A share of the deadline that grows with late answers and decays with others.
 
     A request that is admitted and then late has wasted engine time and made others
@@ -24,9 +24,9 @@
     def observe(self, *, late: bool) -> None:
         """Update the share by the outcome of one admitted request."""
         if late:
-            self.share = min(self.share + GROWTH, MAX_MARGIN)
+            self.share = min(self.share + LATE_INCREMENT, MAX_MARGIN)
         else:
-            self.share *= 1 - FADING
+            self.share *= 1 - DECAY
 
 
-__all__ = ('Margin',)
+__all__ = ('DeadlineMargin',)
--- a/packages/sesamepoint-core/src/sesamepoint_core/admit/window_budget.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/admit/window_budget.py
@@ -10,10 +10,10 @@
 
 # Number of slices that the window is divided into. Spending is counted over one slice
 # more than earnings, so that no window of this length exceeds the budget.
-SLICES = 20
+WINDOW_SLICES = 20
 # The reserve is refilled only while less than this share of the earnings is in use, so
 # that a lasting fault can use it only once.
-CALM_SHARE = 0.5
+REFILL_BELOW_SHARE = 0.5
 
 
 class _Slice(NamedTuple):
@@ -41,66 +41,66 @@
         Extra sends that are allowed in addition when failures begin.
     window_s
         Length of the window, in seconds.
-    now
+    clock
         Returns the time of a monotonic clock, in seconds.
     """
 
-    def __init__(self, ratio: float, reserve: float, window_s: float, now: Callable[[], float]) -> None:
+    def __init__(self, ratio: float, reserve: float, window_s: float, clock: Callable[[], float]) -> None:
         """Start with nothing earned and nothing spent."""
         self._ratio = ratio
         self._reserve = reserve
-        self._saved = reserve
-        self._slice_s = window_s / SLICES
-        self._now = now
+        self._reserve_left = reserve
+        self._slice_s = window_s / WINDOW_SLICES
+        self._clock = clock
         self._slices: deque[_Slice] = deque()
 
     def earn(self) -> None:
         """Count one request."""
-        newest = self._newest()
+        newest = self._current_slice()
         self._slices[-1] = newest._replace(requests=newest.requests + 1)
-        if self._used() < CALM_SHARE * self._earned():
-            self._saved = min(self._saved + self._ratio, self._reserve)
+        if self._used() < REFILL_BELOW_SHARE * self._earned():
+            self._reserve_left = min(self._reserve_left + self._ratio, self._reserve)
 
     def resize(self, reserve: float) -> None:
         """Change the reserve."""
-        self._saved = max(self._saved + reserve - self._reserve, 0)
+        self._reserve_left = max(self._reserve_left + reserve - self._reserve, 0)
         self._reserve = reserve
 
     def spend(self) -> bool:
         """Take an extra send from the earnings, else from the reserve; returns False if both are used up."""
-        newest = self._newest()
+        newest = self._current_slice()
         extra = sum(each.extra for each in self._slices)
         if extra + 1 > self._earned() + self._reserve:
             return False
         if self._used() + 1 <= self._earned():
             self.charge()
             return True
-        if self._saved < 1:
+        if self._reserve_left < 1:
             return False
-        self._saved -= 1
+        self._reserve_left -= 1
         self._slices[-1] = newest._replace(extra=newest.extra + 1, reserved=newest.reserved + 1)
         return True
 
     def charge(self) -> None:
         """Count an extra send that has already happened."""
-        newest = self._newest()
+        newest = self._current_slice()
         self._slices[-1] = newest._replace(extra=newest.extra + 1)
 
     def _earned(self) -> float:
         """Return the extra sends that the requests of the window have earned, without its oldest slice."""
         newest = self._slices[-1].number
-        return self._ratio * sum(each.requests for each in self._slices if each.number > newest - SLICES)
+        return self._ratio * sum(each.requests for each in self._slices if each.number > newest - WINDOW_SLICES)
 
     def _used(self) -> int:
         """Return the extra sends that were taken from the earnings."""
         return sum(each.extra - each.reserved for each in self._slices)
 
-    def _newest(self) -> _Slice:
+    def _current_slice(self) -> _Slice:
         """Return the slice of the current time, and drop those before the window."""
-        number = int(self._now() / self._slice_s)
+        number = int(self._clock() / self._slice_s)
         if not self._slices or self._slices[-1].number != number:
             self._slices.append(_Slice(number))
-        while self._slices[0].number < number - SLICES:
+        while self._slices[0].number < number - WINDOW_SLICES:
             self._slices.popleft()
         return self._slices[-1]
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/bounded.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/bounded_dict.py
@@ -8,10 +8,10 @@
 ValueT = TypeVar('ValueT')
 
 
-def forget_oldest(kept: dict[KeyT, ValueT], most: int) -> None:
+def drop_oldest(entries: dict[KeyT, ValueT], max_entries: int) -> None:
     """Drop the oldest entry if the dictionary exceeds its bound; to be called after each insertion."""
-    if len(kept) > most:
-        kept.pop(next(iter(kept)))
+    if len(entries) > max_entries:
+        entries.pop(next(iter(entries)))
 
 
-__all__ = ('forget_oldest',)
+__all__ = ('drop_oldest',)
--- a/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
@@ -10,7 +10,7 @@
 
 from sesamepoint_core.config.model import Configuration, FleetConfig, InForce
 from sesamepoint_core.errors import SesamepointError
-from sesamepoint_core.problems import describe
+from sesamepoint_core.validation_errors import describe_errors
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -41,7 +41,7 @@
     try:
         cfg = _adapter.validate_json(document)
     except ValidationError as exc:
-        return tuple(describe(exc))
+        return tuple(describe_errors(exc))
     return tuple(_cross_checks(cfg))
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
@@ -32,23 +32,23 @@
 # for two renewals to fail.
 HOLD_S = 2.0
 # More records than a log gets in one epoch: at ten a second it takes three years.
-OFFSETS_OF_ERA = 1_000_000_000
+OFFSETS_PER_EPOCH = 1_000_000_000
 
 
-class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """The record of a lease; ``holder`` is empty if the lease was released."""
+class LeaseRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The record of a lease; ``prefix_source`` is empty if the lease was released."""
 
     holder: str
     fence: int
-    era: int
+    epoch: int
 
 
 class LogView(NamedTuple):
     """State of the log in one read: the epoch, the end, and the newest lease record."""
 
-    era: int
+    epoch: int
     end: int
-    holding: Holding | None
+    record: LeaseRecord | None
 
 
 class Lease:
@@ -80,18 +80,18 @@
         return self._view.end if self._view else 0
 
     @property
-    def era(self) -> int:
+    def epoch(self) -> int:
         """Return the epoch of the store as last seen."""
-        return self._view.era if self._view else 0
+        return self._view.epoch if self._view else 0
 
     def valid(self, now: float) -> bool:
         """Return whether this instance may act as the holder."""
         return self.fence is not None and now < self._sent_at + HOLD_S
 
-    def saw(self, view: LogView, now: float) -> None:
-        """Process a read of the log that ended at ``now``."""
+    def on_read(self, view: LogView, now: float) -> None:
+        """Process a read of the log that ended at ``for_job``."""
         before = self._view
-        if before is not None and view.era != before.era:
+        if before is not None and view.epoch != before.epoch:
             # Another instance must see the newest record unchanged for this long before it claims.
             self.unbroken = self.fence is not None and now < self._sent_at + self._claim_s
             self.fence = None
@@ -99,31 +99,31 @@
             # The instance that appended may have held the lease. The newest record does
             # not show it, as that may be a late one of an older epoch.
             self.unbroken = False
-        if before is None or (view.era, view.end) != (before.era, before.end):
+        if before is None or (view.epoch, view.end) != (before.epoch, before.end):
             self._unchanged_since = now
         self._view = view
-        if self.fence is not None and (view.holding is None or view.holding.fence != self.fence):
+        if self.fence is not None and (view.record is None or view.record.fence != self.fence):
             self.lose()
 
-    def may_claim(self, read_at: float) -> bool:
+    def may_claim(self, read_began_at: float) -> bool:
         """Return whether no instance can act as holder, given the time at which the newest read began."""
         if self._view is None:
             return False
-        holding = self._view.holding
-        if holding is not None and not holding.holder and holding.era == self._view.era:
+        holding = self._view.record
+        if holding is not None and not holding.holder and holding.epoch == self._view.epoch:
             return True
-        return read_at - self._unchanged_since >= self._claim_s
+        return read_began_at - self._unchanged_since >= self._claim_s
 
-    def next_holding(self) -> Holding:
+    def next_record(self) -> LeaseRecord:
         """Return the record with which this instance claims the lease, or renews it."""
         if self.fence is not None:
-            return Holding(self._name, self.fence, self.era)
-        return Holding(self._name, self.era * OFFSETS_OF_ERA + self.end + 1, self.era)
+            return LeaseRecord(self._name, self.fence, self.epoch)
+        return LeaseRecord(self._name, self.epoch * OFFSETS_PER_EPOCH + self.end + 1, self.epoch)
 
-    def appended(self, holding: Holding, end: int, sent_at: float) -> None:
+    def on_appended(self, record: LeaseRecord, end: int, sent_at: float) -> None:
         """Note that a record of this instance, sent at ``sent_at``, was accepted; the log now ends at ``end``."""
-        self._view = LogView(holding.era, end, holding)
-        self.fence = holding.fence
+        self._view = LogView(record.epoch, end, record)
+        self.fence = record.fence
         self._sent_at = sent_at
 
     def lose(self) -> None:
@@ -132,4 +132,4 @@
         self.unbroken = False
 
 
-__all__ = ('HOLD_S', 'Holding', 'Lease', 'LogView')
+__all__ = ('HOLD_S', 'Lease', 'LeaseRecord', 'LogView')
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/reports.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/report_schedule.py
@@ -10,16 +10,16 @@
     from sesamepoint_core.duty.usage import UsageMeter
 
 # Instances send their counts within this many seconds after the end of a window.
-GATHER_S = 0.4
+COUNTS_DUE_S = 0.4
 # How long missing counts are waited for after the end of a window, as a share of the
 # time in which its report is due: the rest is left for failing calls and for a change
 # of the holder.
-WAIT_SHARE = 0.6
+MISSING_WAIT_SHARE = 0.6
 # A report is no longer sent from this many seconds before its deadline.
-TOO_LATE_S = 0.3
+SEND_MARGIN_S = 0.3
 # Largest difference between the clocks of two holders, in seconds. After the store lost
 # acknowledged records, no window is reported that may have been reported before.
-CLOCKS_APART_S = 3.0
+MAX_CLOCK_SKEW_S = 3.0
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True):
@@ -27,10 +27,10 @@
 
     window: int
     body: bytes
-    era: int
+    epoch: int
 
 
-class Times(NamedTuple):
+class ReportTimes(NamedTuple):
     """The settings of the duty, in seconds.
 
     Parameters
@@ -45,10 +45,10 @@
     late_s: float
 
 
-class Reports:
+class ReportSchedule:
     """Schedule of the reports while this instance holds the duty."""
 
-    def __init__(self, meter: UsageMeter, times: Times) -> None:
+    def __init__(self, meter: UsageMeter, times: ReportTimes) -> None:
         """Start without a report."""
         # Stored and not yet accepted.
         self.pending: Report | None = None
@@ -63,14 +63,14 @@
         """Return the first window without a stored report."""
         return self._next
 
-    def begin(self, found: Report | None, era: int, wall_s: float, *, unbroken: bool) -> None:
+    def take_over(self, stored: Report | None, epoch: int, wall_s: float, *, unbroken: bool) -> None:
         """Take over the duty with the state in the store.
 
         Parameters
         ----------
-        found
+        stored
             The newest report in the store.
-        era
+        epoch
             Epoch of the store.
         wall_s
             Current time in seconds since 1970.
@@ -79,22 +79,22 @@
         """
         # The newest report is sent again, since it may not have been sent.
         if unbroken and self.newest is not None:
-            self.decided(self.newest)
-        elif found is not None and found.era == era:
-            self.decided(found)
+            self.on_decided(self.newest)
+        elif stored is not None and stored.epoch == epoch:
+            self.on_decided(stored)
         else:
             # The store may have lost the report of any window that has ended, so none of them is reported.
             self.pending = None
-            self._next = self._meter.window_at(wall_s + CLOCKS_APART_S)
+            self._next = self._meter.window_at(wall_s + MAX_CLOCK_SKEW_S)
 
-    def ready(self, wall_s: float, *, whole: bool) -> int | None:
+    def due_window(self, wall_s: float, *, complete: bool) -> int | None:
         """Return the window whose report is due now, if there is one.
 
         Parameters
         ----------
         wall_s
             Current time in seconds since 1970.
-        whole
+        complete
             Whether all counts of the next window have arrived.
         """
         while self.too_late(self._next, wall_s):
@@ -102,22 +102,22 @@
         if self.pending is not None:
             return None
         since_end_s = wall_s - self._meter.end_of(self._next)
-        wait_s = GATHER_S if whole else WAIT_SHARE * self._times.late_s
+        wait_s = COUNTS_DUE_S if complete else MISSING_WAIT_SHARE * self._times.late_s
         return self._next if since_end_s >= wait_s else None
 
-    def decided(self, report: Report) -> None:
+    def on_decided(self, report: Report) -> None:
         """Note that a report is stored, and may be sent."""
         self.newest = report
         self.pending = report
         self._next = report.window + 1
 
-    def done(self) -> None:
+    def on_done(self) -> None:
         """Note that the pending report was accepted or given up."""
         self.pending = None
 
     def too_late(self, window: int, wall_s: float) -> bool:
         """Return whether the report of a window would miss its deadline."""
-        return wall_s >= self._meter.end_of(window) + self._times.late_s - TOO_LATE_S
+        return wall_s >= self._meter.end_of(window) + self._times.late_s - SEND_MARGIN_S
 
 
-__all__ = ('GATHER_S', 'Report', 'Reports', 'Times')
+__all__ = ('COUNTS_DUE_S', 'Report', 'ReportSchedule', 'ReportTimes')
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
@@ -14,14 +14,14 @@
     from collections.abc import Iterable, Mapping
 
 # Number of windows that are kept: the current one, and those whose report may still be due.
-KEPT_WINDOWS = 8
+MAX_WINDOWS = 8
 
 
 class Source(NamedTuple):
     """One incarnation of one instance, whose counts only grow."""
 
-    entry: str
-    start: int
+    instance: str
+    incarnation: int
 
 
 class UsageMeter:
@@ -45,7 +45,7 @@
         window = self.window_at(wall_s)
         if window not in self._counts:
             self._counts[window] = Counter()
-            for old in sorted(self._counts)[:-KEPT_WINDOWS]:
+            for old in sorted(self._counts)[:-MAX_WINDOWS]:
                 self._counts.pop(old)
         self._counts[window][account] += 1
 
@@ -54,7 +54,7 @@
         return self._counts.get(window, {})
 
 
-class _Window:
+class _WindowCounts:
     """Counts of one window by source, and the instances whose counts are complete."""
 
     def __init__(self) -> None:
@@ -71,33 +71,33 @@
         seen = self._parts.setdefault(source, set())
         seen.add(part)
         if len(seen) >= parts:
-            self.closed.add(source.entry)
+            self.closed.add(source.instance)
 
 
-class Tallies:
+class UsageTotals:
     """Usage counts of all instances, as far as they are known here."""
 
     def __init__(self) -> None:
         """Start without counts."""
-        self._windows: dict[int, _Window] = {}
+        self._windows: dict[int, _WindowCounts] = {}
 
     def add(self, source: Source, window: int, counts: Iterable[tuple[str, int]]) -> None:
         """Add some or all counts of one source."""
-        self._of(window).add(source, counts)
+        self._window(window).add(source, counts)
 
     def close(self, source: Source, window: int, part: int, parts: int) -> None:
         """Note that one of ``parts`` messages with the final counts of a source was added."""
-        self._of(window).close(source, part, parts)
+        self._window(window).close(source, part, parts)
 
-    def missing(self, window: int, entries: Iterable[str]) -> list[str]:
+    def missing(self, window: int, instances: Iterable[str]) -> list[str]:
         """Return the instances whose counts of a window are not complete yet."""
-        closed = self._of(window).closed
-        return [entry for entry in entries if entry not in closed]
+        closed = self._window(window).closed
+        return [entry for entry in instances if entry not in closed]
 
     def total(self, window: int) -> dict[str, int]:
         """Return the counts of a window over all sources, by account."""
         totals: Counter[str] = Counter()
-        for counts in self._of(window).counts.values():
+        for counts in self._window(window).counts.values():
             totals.update(counts)
         return {account: requests for account, requests in sorted(totals.items()) if requests}
 
@@ -105,12 +105,12 @@
         """Drop the counts of windows before ``window``."""
         self._windows = {number: counts for number, counts in self._windows.items() if number >= window}
 
-    def _of(self, window: int) -> _Window:
+    def _window(self, window: int) -> _WindowCounts:
         if window not in self._windows:
-            self._windows[window] = _Window()
-            for old in sorted(self._windows)[:-KEPT_WINDOWS]:
+            self._windows[window] = _WindowCounts()
+            for old in sorted(self._windows)[:-MAX_WINDOWS]:
                 self._windows.pop(old)
-        return self._windows.get(window) or _Window()
+        return self._windows.get(window) or _WindowCounts()
 
 
-__all__ = ('Source', 'Tallies', 'UsageMeter')
+__all__ = ('Source', 'UsageMeter', 'UsageTotals')
--- a/packages/sesamepoint-core/src/sesamepoint_core/errors.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/errors.py
@@ -8,16 +8,16 @@
 
     Parameters
     ----------
-    found
+    problem
         What is wrong.
     remedy
         What to do about it.
     """
 
-    def __init__(self, found: str, remedy: str) -> None:
+    def __init__(self, problem: str, remedy: str) -> None:
         """Build the message from both parts."""
-        super().__init__(f'{found}; {remedy}')
-        self.found = found
+        super().__init__(f'{problem}; {remedy}')
+        self.problem = problem
         self.remedy = remedy
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/belief.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/known_limit.py
@@ -5,33 +5,33 @@
 import math
 from typing import NamedTuple
 
-from sesamepoint_core.bounded import forget_oldest
+from sesamepoint_core.bounded_dict import drop_oldest
 from sesamepoint_core.decimals import plain_decimal
 from sesamepoint_core.runner_limit.stamp import Stamp
 
 # Longest text of a rate, in characters; a longer one is rejected as meaningless.
-MAX_TEXT = 32
+MAX_RATE_CHARS = 32
 # A limit ends when an answer without one comes at least so many seconds after the last
 # answer that reported it.
-END_AFTER_S = 0.5
+MIN_SILENCE_S = 0.5
 # Most requests of one instance in flight at a runner that has not answered it yet: the
 # instance can't know yet whether there is a limit.
-FIRST_SENDS = 2
+FIRST_IN_FLIGHT = 2
 # A runner with a limit of 0 gets no requests, so no answer could report a higher limit:
 # one request is sent as a probe each time so many seconds have passed.
-ZERO_BELIEVED_S = 10.0
+ZERO_PROBE_S = 10.0
 # After the end of a limit the allowed rate doubles in this time, in seconds: the cause
 # of the limit may come back with the load.
-DOUBLING_S = 1.0
+RAMP_DOUBLING_S = 1.0
 # After this many doublings the limit is dropped.
-DOUBLINGS = 6
+RAMP_DOUBLINGS = 6
 # Incarnations of instances whose newest stamp is remembered.
-REMEMBERED = 2048
+MAX_INCARNATIONS = 2048
 # Lowest rate, in requests a second, from which an ended limit grows.
-LEAST_AFTER = 1.0
+MIN_RAMP_RATE = 1.0
 
 
-class LimitWord(NamedTuple):
+class ReportedLimit(NamedTuple):
     """The newest report of a runner's rate limit.
 
     Parameters
@@ -40,7 +40,7 @@
         The instance that received it, and when by its own clock.
     rate
         Requests a second from all instances together.
-    heard_at
+    reported_at
         When an answer last reported it, on this instance's clock.
     ended_at
         When an answer without a limit ended it; None while it is in force.
@@ -48,88 +48,90 @@
 
     origin: Stamp
     rate: float
-    heard_at: float
+    reported_at: float
     ended_at: float | None = None
 
     @property
-    def newest_at(self) -> float:
+    def changed_at(self) -> float:
         """Return when the limit was last reported, or when it ended."""
-        return self.heard_at if self.ended_at is None else self.ended_at
+        return self.reported_at if self.ended_at is None else self.ended_at
 
     @property
-    def says(self) -> tuple[float, bool]:
+    def state(self) -> tuple[float, bool]:
         """Return the limit, and whether it is in force."""
         return self.rate, self.ended_at is None
 
 
-class LimitBelief:
+class KnownLimit:
     """The newest limit reported by answers or by peers.
 
     The transit time of an update is unknown, so a late one seems newer than it is. Each
     update is therefore accepted once: sent back and forth it would always seem new.
     """
 
-    def __init__(self, start: int) -> None:
+    def __init__(self, incarnation: int) -> None:
         """Start without a limit, with the number of this incarnation of the instance."""
-        self.word: LimitWord | None = None
-        self._start = start
-        self._seen: dict[int, float] = {}
+        self.reported: ReportedLimit | None = None
+        self._incarnation = incarnation
+        self._newest_stamps: dict[int, float] = {}
 
-    def named(self, rate: float, now: float) -> bool:
+    def on_reported(self, rate: float, now: float) -> bool:
         """Record the limit that an answer reports; return whether it has changed."""
-        before = self.word
-        self.word = LimitWord(Stamp(self._start, now), rate, now)
-        return before is None or before.says != self.word.says
+        before = self.reported
+        self.reported = ReportedLimit(Stamp(self._incarnation, now), rate, now)
+        return before is None or before.state != self.reported.state
 
-    def unnamed(self, sent_at: float, now: float) -> bool:
+    def on_not_reported(self, sent_at: float, now: float) -> bool:
         """Record that an answer to a request sent at ``sent_at`` has no limit; return whether this ends the limit.
 
         Answers can arrive out of order: the answer to an earlier request may have
         been made before the limit was reported.
         """
-        reported = self.word
+        reported = self.reported
         if reported is None or reported.ended_at is not None:
             return False
-        if sent_at <= reported.heard_at or now - reported.heard_at < END_AFTER_S:
+        if sent_at <= reported.reported_at or now - reported.reported_at < MIN_SILENCE_S:
             return False
-        self.word = reported._replace(origin=Stamp(self._start, now), ended_at=now)
+        self.reported = reported._replace(origin=Stamp(self._incarnation, now), ended_at=now)
         return True
 
-    def told(self, word: LimitWord) -> bool:
+    def on_peer_update(self, update: ReportedLimit) -> bool:
         """Record the update of a peer if it is newer; return whether the limit has changed."""
-        if self._has_seen(word.origin):
+        if self._has_seen(update.origin):
             return False
-        before = self.word
-        if before is not None and word.newest_at <= before.newest_at:
+        before = self.reported
+        if before is not None and update.changed_at <= before.changed_at:
             return False
-        self.word = word
-        return before is None or before.says != word.says
+        self.reported = update
+        return before is None or before.state != update.state
 
-    def allowed(self, now: float) -> float | None:
+    def allowed_rate(self, now: float) -> float | None:
         """Return the rate allowed to all instances together, in requests a second; None without a limit."""
-        reported = self.word
+        reported = self.reported
         if reported is None:
             return None
         if reported.ended_at is not None:
-            return self._after(reported, now - reported.ended_at)
-        if reported.rate == 0 and now - reported.heard_at > ZERO_BELIEVED_S:
-            return 1 / ZERO_BELIEVED_S
+            return self._ramp_rate(reported, now - reported.ended_at)
+        if reported.rate == 0 and now - reported.reported_at > ZERO_PROBE_S:
+            return 1 / ZERO_PROBE_S
         return reported.rate
 
     def _has_seen(self, origin: Stamp) -> bool:
-        if origin.start == self._start or origin.at <= self._seen.get(origin.start, -math.inf):
+        if origin.incarnation == self._incarnation or origin.at <= self._newest_stamps.get(
+            origin.incarnation, -math.inf
+        ):
             return True
-        self._seen.pop(origin.start, None)
-        self._seen[origin.start] = origin.at
-        forget_oldest(self._seen, REMEMBERED)
+        self._newest_stamps.pop(origin.incarnation, None)
+        self._newest_stamps[origin.incarnation] = origin.at
+        drop_oldest(self._newest_stamps, MAX_INCARNATIONS)
         return False
 
-    def _after(self, word: LimitWord, since_s: float) -> float | None:
-        doublings = since_s / DOUBLING_S
-        if doublings > DOUBLINGS:
-            self.word = None
+    def _ramp_rate(self, ended: ReportedLimit, since_s: float) -> float | None:
+        doublings = since_s / RAMP_DOUBLING_S
+        if doublings > RAMP_DOUBLINGS:
+            self.reported = None
             return None
-        return max(word.rate, LEAST_AFTER) * math.pow(2, doublings)
+        return max(ended.rate, MIN_RAMP_RATE) * math.pow(2, doublings)
 
 
 def parse_rate(text: str) -> float:
@@ -141,9 +143,9 @@
         If ``text`` is anything else, or longer than 32 characters.
     """
     rate = plain_decimal(text)
-    if len(rate) > MAX_TEXT:
+    if len(rate) > MAX_RATE_CHARS:
         raise ValueError('limit has too many characters')
     return float(rate)
 
 
-__all__ = ('FIRST_SENDS', 'LimitBelief', 'LimitWord', 'parse_rate')
+__all__ = ('FIRST_IN_FLIGHT', 'KnownLimit', 'ReportedLimit', 'parse_rate')
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/words.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sesamepoint_core.runner_limit.belief import LimitWord
+from sesamepoint_core.runner_limit.known_limit import ReportedLimit
 from sesamepoint_core.runner_limit.stamp import Moment, Stamp
 
 # Bounds on numbers that peers send.
@@ -20,7 +20,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 
-class Told(NamedTuple):
+class LimitUpdate(NamedTuple):
     """A reported limit as sent to peers: with its age in place of times, since clocks differ."""
 
     origin: Stamp
@@ -29,16 +29,16 @@
     ended: bool
 
     @classmethod
-    def of(cls, word: LimitWord, now: float) -> Told:
-        """Return the form in which a reported limit is sent at ``now``."""
-        rate = min(word.rate, MAX_RATE)
-        age_s = min(max(now - word.newest_at, 0), MAX_AGE_S)
-        return cls(word.origin, rate, age_s, word.ended_at is not None)
-
-    def word(self, now: float) -> LimitWord:
-        """Return the reported limit by the clock of the recipient, which receives this at ``now``."""
+    def of(cls, reported: ReportedLimit, now: float) -> LimitUpdate:
+        """Return the form in which a reported limit is sent at ``for_job``."""
+        rate = min(reported.rate, MAX_RATE)
+        age_s = min(max(now - reported.changed_at, 0), MAX_AGE_S)
+        return cls(reported.origin, rate, age_s, reported.ended_at is not None)
+
+    def to_reported(self, now: float) -> ReportedLimit:
+        """Return the reported limit by the clock of the recipient, which receives this at ``for_job``."""
         at = now - self.age_s
-        return LimitWord(self.origin, self.rate, at, at if self.ended else None)
+        return ReportedLimit(self.origin, self.rate, at, at if self.ended else None)
 
 
 class Rank(NamedTuple):
@@ -54,65 +54,65 @@
         return cls(min(priority, MAX_PRIORITY), -min(size, MAX_SIZE))
 
 
-class Ask(NamedTuple):
+class PermitRequest(NamedTuple):
     """Leases the share of an instance to the owner of the limit, and requests permits.
 
     Parameters
     ----------
-    asked_at
+    requested_at
         Time on the clock of the sender; the grant returns it.
-    lends
+    leased_from
         The newest stamp of the owner, from which the share is leased. None if it is not leased.
     lease_s
         Length of the lease in seconds.
-    wants
+    demand
         How many requests the sender could send now.
     rank
         Rank of the first of these.
     unused
         Permits that the sender returns.
-    told
+    limit
         The newest report of the limit known to the sender.
     """
 
-    asked_at: Moment
-    lends: Stamp | None
+    requested_at: Moment
+    leased_from: Stamp | None
     lease_s: Age
-    wants: Count
+    demand: Count
     rank: Rank
     unused: Count
-    told: Told | None
+    limit: LimitUpdate | None
 
 
-class Grant(NamedTuple):
+class PermitGrant(NamedTuple):
     """The answer of the owner of the limit, with permits for the recipient.
 
     Parameters
     ----------
-    asked_at
+    requested_at
         Time in the newest request of the recipient; 0 if this answers none.
     stamp
         Time on the clock of the owner.
     permits
         How many requests may be sent.
-    askers
+    contenders
         How many instances want permits with at least the urgency of the recipient.
-    told
+    limit
         The newest report of the limit known to the owner.
     """
 
-    asked_at: Moment
+    requested_at: Moment
     stamp: Stamp
     permits: Count
-    askers: Count
-    told: Told | None
+    contenders: Count
+    limit: LimitUpdate | None
 
 
-class Letter(NamedTuple):
+class AddressedMessage(NamedTuple):
     """A message and the name of its recipient."""
 
-    to: str
-    word: Ask | Grant
+    recipient: str
+    message: PermitRequest | PermitGrant
 
 
-__all__ = ('Ask', 'Grant', 'Letter', 'Rank', 'Told')
+__all__ = ('AddressedMessage', 'LimitUpdate', 'PermitGrant', 'PermitRequest', 'Rank')
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/stamp.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/stamp.py
@@ -8,15 +8,15 @@
 
 # Bounds on numbers that peers send.
 MAX_TIME = 1e12
-MAX_START = 1_000_000_000_000_000_000
+MAX_INCARNATION = 1_000_000_000_000_000_000
 Moment = Annotated[float, msgspec.Meta(ge=-MAX_TIME, le=MAX_TIME)]
-StartNumber = Annotated[int, msgspec.Meta(ge=0, lt=MAX_START)]
+IncarnationNumber = Annotated[int, msgspec.Meta(ge=0, lt=MAX_INCARNATION)]
 
 
 class Stamp(NamedTuple):
     """A time on the clock of one incarnation of an instance."""
 
-    start: StartNumber
+    incarnation: IncarnationNumber
     at: Moment
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/belief.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_status/known_status.py
@@ -7,13 +7,13 @@
 # Requests of one instance that may be in flight at a runner right after a back-off, and the
 # seconds after which that number doubles: if all waiting requests were sent at once they
 # would be turned away again.
-FIRST_AFTER_REST = 1
-DOUBLING_S = 0.25
+FIRST_AFTER_BACK_OFF = 1
+RAMP_DOUBLING_S = 0.25
 # After this many doublings the number is unlimited again.
-DOUBLINGS = 6
+RAMP_DOUBLINGS = 6
 
 
-class Belief:
+class KnownStatus:
     """Status of one incarnation of a runner, as known to one instance; it does no I/O.
 
     Draining never ends for an incarnation: registrations and answers that do not mention
@@ -23,50 +23,50 @@
 
     def __init__(self) -> None:
         """Start as neither draining nor in a back-off."""
-        self.leaving = False
-        self._rests_until = -math.inf
-        self._hinted_until = -math.inf
+        self.draining = False
+        self._back_off_until = -math.inf
+        self._peer_back_off_until = -math.inf
 
-    def leave(self) -> bool:
+    def mark_draining(self) -> bool:
         """Mark the runner as draining; return whether it was not marked before."""
-        changed = not self.leaving
-        self.leaving = True
+        changed = not self.draining
+        self.draining = True
         return changed
 
-    def rest(self, for_s: float, now: float) -> bool:
+    def back_off(self, for_s: float, now: float) -> bool:
         """Start a back-off of ``for_s`` seconds; return whether this extends the known one."""
         until = now + for_s
-        if until <= max(self._rests_until, now):
+        if until <= max(self._back_off_until, now):
             return False
-        self._rests_until = until
+        self._back_off_until = until
         return True
 
-    def hint(self, for_s: float, now: float) -> bool:
+    def note_peer_back_off(self, for_s: float, now: float) -> bool:
         """Record that a peer was asked to back off for ``for_s`` seconds; return whether no such time was running."""
-        changed = now >= self._hinted_until
-        self._hinted_until = max(self._hinted_until, now + for_s)
+        changed = now >= self._peer_back_off_until
+        self._peer_back_off_until = max(self._peer_back_off_until, now + for_s)
         return changed
 
-    def drop_hint(self) -> None:
+    def clear_peer_back_off(self) -> None:
         """Forget the back-off asked of a peer, since the runner accepts requests of this instance."""
-        self._hinted_until = -math.inf
+        self._peer_back_off_until = -math.inf
 
-    def hinted(self, now: float) -> bool:
+    def peer_backs_off(self, now: float) -> bool:
         """Return whether a peer was asked to back off, so that this instance should prefer other runners."""
-        return now < self._hinted_until
+        return now < self._peer_back_off_until
 
-    def rest_left_s(self, now: float) -> float:
+    def back_off_left_s(self, now: float) -> float:
         """Return the remaining seconds of the back-off; 0 if there is none."""
-        return max(self._rests_until - now, 0)
+        return max(self._back_off_until - now, 0)
 
-    def room(self, now: float) -> float:
+    def max_in_flight(self, now: float) -> float:
         """Return how many requests of this instance may be in flight at the runner; infinite without a bound."""
-        since_s = now - self._rests_until
+        since_s = now - self._back_off_until
         if since_s < 0:
             return 0
-        if since_s >= (DOUBLINGS + 1) * DOUBLING_S:
+        if since_s >= (RAMP_DOUBLINGS + 1) * RAMP_DOUBLING_S:
             return math.inf
-        return FIRST_AFTER_REST * math.pow(2, since_s // DOUBLING_S)
+        return FIRST_AFTER_BACK_OFF * math.pow(2, since_s // RAMP_DOUBLING_S)
 
 
-__all__ = ('Belief',)
+__all__ = ('KnownStatus',)
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_words/words.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_status/status_headers.py
@@ -6,26 +6,26 @@
 
 
 @dataclass(frozen=True)
-class Leaves:
+class Draining:
     """The runner is draining: it accepts no new requests from any instance."""
 
 
 @dataclass(frozen=True)
-class Rests:
+class BackOff:
     """The runner asks the instance that it answers to back off for ``for_s`` seconds."""
 
     for_s: float
 
 
 @dataclass(frozen=True)
-class Limits:
-    """The runner accepts ``rate`` requests a second from all instances together."""
+class RateLimit:
+    """The runner accepts ``speed_meters`` requests a second from all instances together."""
 
     rate: float
 
 
 @dataclass(frozen=True)
-class NoLimit:
+class NoRateLimit:
     """A successful answer without a rate limit; other answers of the same runner may report one."""
 
 
@@ -35,16 +35,16 @@
 
     Parameters
     ----------
-    word
+    header
         The kind of header.
     text
         The value; if it is long, only its beginning.
     """
 
-    word: str
+    header: str
     text: str
 
 
-RunnerWord = Leaves | Rests | Limits | NoLimit | Unreadable
+StatusHeader = Draining | BackOff | RateLimit | NoRateLimit | Unreadable
 
-__all__ = ('Leaves', 'Limits', 'NoLimit', 'Rests', 'RunnerWord', 'Unreadable')
+__all__ = ('BackOff', 'Draining', 'NoRateLimit', 'RateLimit', 'StatusHeader', 'Unreadable')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/accounts.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/accounts.py
@@ -29,7 +29,7 @@
     unknown = 'unknown_key'
 
 
-class ShownKey(NamedTuple):
+class PresentedKey(NamedTuple):
     """The digest of the key that a request carries, or the reason why there is none."""
 
     digest: str = ''
@@ -43,7 +43,7 @@
     priority: int | None = None
 
 
-class Holder(NamedTuple):
+class AccountKeys(NamedTuple):
     """An account and its keys, as the operator configures them."""
 
     account: Account
@@ -56,7 +56,7 @@
     by_key: dict[str, Account]
 
     @classmethod
-    def from_keys(cls, holders: Iterable[Holder]) -> Accounts:
+    def from_keys(cls, account_keys: Iterable[AccountKeys]) -> Accounts:
         """Index accounts by their keys.
 
         Raises
@@ -66,10 +66,10 @@
             accounts and the index of the key, never the key.
         """
         by_key: dict[str, Account] = {}
-        for account, keys in holders:
+        for account, keys in account_keys:
             for position, key in enumerate(keys):
                 owner = by_key.setdefault(digest_of(key.encode()), account)
-                _check(account, position, key, owner)
+                _check_key(account, position, key, owner)
         return cls(by_key)
 
 
@@ -95,30 +95,30 @@
     return blake2b(key, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def admit(accounts: Accounts, shown: ShownKey, *, public: bool) -> Admission:
+def admit(accounts: Accounts, presented: PresentedKey, *, public: bool) -> Admission:
     """Find the account of a request; on a ``public`` route there need not be one."""
-    account = accounts.by_key.get(shown.digest) if shown.digest else None
+    account = accounts.by_key.get(presented.digest) if presented.digest else None
     if account is not None or public:
         return Admitted(account)
-    return Denied(shown.fault or KeyFault.unknown)
+    return Denied(presented.fault or KeyFault.unknown)
 
 
-def _check(account: Account, place: int, key: str, before: Account) -> None:
+def _check_key(account: Account, position: int, key: str, owner: Account) -> None:
     if not key:
-        raise ValueError(f'key {place} of account {account.name} is empty')
-    if before.name != account.name:
-        raise ValueError(f'key {place} of account {account.name} is a key of {before.name} too')
+        raise ValueError(f'key {position} of account {account.name} is empty')
+    if owner.name != account.name:
+        raise ValueError(f'key {position} of account {account.name} is a key of {owner.name} too')
 
 
 __all__ = (
     'Account',
+    'AccountKeys',
     'Accounts',
     'Admission',
     'Admitted',
     'Denied',
-    'Holder',
     'KeyFault',
-    'ShownKey',
+    'PresentedKey',
     'admit',
     'digest_of',
 )
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/triage.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/deadline_check.py
@@ -8,7 +8,7 @@
     from collections.abc import Sequence
 
 
-class Turn(NamedTuple):
+class WaitingRequest(NamedTuple):
     """A waiting request.
 
     Parameters
@@ -23,7 +23,7 @@
     work_s: float
 
 
-def late_turns(turns: Sequence[Turn], start_s: float, stretch: float) -> set[int]:
+def late_requests(waiting: Sequence[WaitingRequest], free_in_s: float, time_factor: float) -> set[int]:
     """Return the indices of the requests that can't meet their deadlines.
 
     If a burst is served in the order of arrival, each request waits until it is just
@@ -35,22 +35,22 @@
 
     Parameters
     ----------
-    turns
+    waiting
         The waiting requests, in any order.
-    start_s
+    free_in_s
         Seconds until an engine is free.
-    stretch
+    time_factor
         Seconds that one engine second of this work takes: less than one if several
         engines share it, more if other requests wait for them too.
     """
     late: set[int] = set()
-    elapsed_s = start_s
-    for turn, index in sorted(zip(turns, range(len(turns)), strict=True)):
+    elapsed_s = free_in_s
+    for turn, index in sorted(zip(waiting, range(len(waiting)), strict=True)):
         if elapsed_s + turn.work_s > turn.due_s:
             late.add(index)
         else:
-            elapsed_s += turn.work_s * stretch
+            elapsed_s += turn.work_s * time_factor
     return late
 
 
-__all__ = ('Turn', 'late_turns')
+__all__ = ('WaitingRequest', 'late_requests')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/engine_load.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/engine_load.py
@@ -7,17 +7,17 @@
 
 # Prefill work whose end was not reported expires after this many times its
 # length plus this many seconds: its instance may have failed, or the message was lost.
-FORGET_FACTOR = 4.0
-FORGET_S = 1.5
+PREFILL_EXPIRY_FACTOR = 4.0
+PREFILL_EXPIRY_S = 1.5
 # Seconds after which a stream expires whose end was not reported. The longest
 # deadlines in use are 6 s.
-FORGET_STREAM_S = 8.0
+STREAM_EXPIRY_S = 8.0
 # Length of the history of prefill work, in seconds. It has to cover the longest
 # pause that streams may have; these are 0.25 s at most.
-KEPT_S = 1.0
+PREFILL_HISTORY_S = 1.0
 
 
-class Work(NamedTuple):
+class PrefillWork(NamedTuple):
     """A prompt that an engine has to prefill.
 
     Parameters
@@ -55,26 +55,26 @@
 
     def __init__(self) -> None:
         """Start without load."""
-        self._works: dict[str, Work] = {}
+        self._prefills: dict[str, PrefillWork] = {}
         self._streams: dict[str, Stream] = {}
-        self._last_read: float = 0
-        self._added: deque[Work] = deque()
+        self._prefill_ended_at: float = 0
+        self._recent_prefills: deque[PrefillWork] = deque()
 
-    def add_work(self, name: str, work: Work) -> None:
+    def add_prefill(self, name: str, work: PrefillWork) -> None:
         """Count a prompt until its end is noted or it expires."""
-        self._works[name] = work
-        self._added.append(work)
+        self._prefills[name] = work
+        self._recent_prefills.append(work)
 
     def add_stream(self, name: str, stream: Stream) -> None:
         """Count an answer until its end is noted or it expires."""
         self._streams[name] = stream
 
-    def read(self, name: str, now: float) -> None:
+    def end_prefill(self, name: str, now: float) -> None:
         """Note that the prefill of the prompt ``name`` is complete or was abandoned."""
-        if self._works.pop(name, None) is not None:
-            self._last_read = now
+        if self._prefills.pop(name, None) is not None:
+            self._prefill_ended_at = now
 
-    def finished(self, name: str) -> None:
+    def end_stream(self, name: str) -> None:
         """Note that the answer ``name`` has ended."""
         self._streams.pop(name, None)
 
@@ -85,44 +85,44 @@
         in the order of arrival, whatever their priority: urgent prompts of 300
         tokens sent after 0.15 to 0.4 s of less urgent work took 0.17 to 0.27 s longer.
         """
-        self._forget_works(now)
-        if not self._works:
+        self._expire_prefills(now)
+        if not self._prefills:
             return 0
-        oldest = next(iter(self._works.values()))
-        begun_at = max(self._last_read, oldest.added_at)
-        total_s = sum(work.work_s for work in self._works.values())
+        oldest = next(iter(self._prefills.values()))
+        begun_at = max(self._prefill_ended_at, oldest.added_at)
+        total_s = sum(work.work_s for work in self._prefills.values())
         return max(total_s - min(now - begun_at, oldest.work_s), 0)
 
-    def read_lately_s(self, span_s: float, now: float) -> float:
+    def recent_prefill_s(self, span_s: float, now: float) -> float:
         """Return the seconds of prefill work that were sent in the last ``span_s`` seconds."""
-        while self._added and now - self._added[0].added_at > KEPT_S:
-            self._added.popleft()
-        return sum(work.work_s for work in self._added if now - work.added_at <= span_s)
+        while self._recent_prefills and now - self._recent_prefills[0].added_at > PREFILL_HISTORY_S:
+            self._recent_prefills.popleft()
+        return sum(work.work_s for work in self._recent_prefills if now - work.added_at <= span_s)
 
     def streams(self, now: float) -> int:
         """Return the number of answers in progress."""
-        self._forget_streams(now)
+        self._expire_streams(now)
         return len(self._streams)
 
-    def timely_streams(self, now: float) -> int:
+    def on_time_streams(self, now: float) -> int:
         """Return the number of answers in progress that can still meet their deadlines."""
-        self._forget_streams(now)
+        self._expire_streams(now)
         return sum(not stream.late for stream in self._streams.values())
 
     def stream_tokens(self, now: float) -> int:
         """Return the KV cache that answers in progress occupy, in tokens."""
-        self._forget_streams(now)
+        self._expire_streams(now)
         return sum(stream.tokens for stream in self._streams.values())
 
-    def _forget_works(self, now: float) -> None:
-        for name, work in tuple(self._works.items()):
-            if now - work.added_at > FORGET_S + FORGET_FACTOR * work.work_s:
-                self._works.pop(name)
+    def _expire_prefills(self, now: float) -> None:
+        for name, work in tuple(self._prefills.items()):
+            if now - work.added_at > PREFILL_EXPIRY_S + PREFILL_EXPIRY_FACTOR * work.work_s:
+                self._prefills.pop(name)
 
-    def _forget_streams(self, now: float) -> None:
+    def _expire_streams(self, now: float) -> None:
         for name, stream in tuple(self._streams.items()):
-            if now - stream.added_at > FORGET_STREAM_S:
+            if now - stream.added_at > STREAM_EXPIRY_S:
                 self._streams.pop(name)
 
 
-__all__ = ('EngineLoad', 'Stream', 'Work')
+__all__ = ('EngineLoad', 'PrefillWork', 'Stream')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
@@ -12,7 +12,7 @@
 # Share of the memory that the model fills. Running requests occupy the same memory,
 # and the order of use is known only roughly, so the model has to evict a block
 # earlier rather than later than the runner does.
-SHARE_FOR_PARTS = 0.9
+BLOCK_MEMORY_SHARE = 0.9
 
 
 class CacheModel:
@@ -24,67 +24,67 @@
 
     def __init__(self, kv_tokens: int) -> None:
         """Set the memory of the runner, in tokens."""
-        self._room = 0
-        self._held: dict[str, int] = {}
-        self._reading: dict[str, str] = {}
-        self._used = 0
+        self._capacity = 0
+        self._token_counts: dict[str, int] = {}
+        self._prefills: dict[str, str] = {}
+        self._used_tokens = 0
         self.resize(kv_tokens)
 
     def resize(self, kv_tokens: int) -> None:
         """Change the memory of the runner, in tokens."""
-        self._room = int(kv_tokens * SHARE_FOR_PARTS)
+        self._capacity = int(kv_tokens * BLOCK_MEMORY_SHARE)
         self._shrink()
 
     @property
-    def kept(self) -> tuple[Part, ...]:
+    def blocks(self) -> tuple[Part, ...]:
         """Return all cached blocks, least recently used first."""
-        return tuple(Part(key, tokens) for key, tokens in self._held.items())
+        return tuple(Part(key, tokens) for key, tokens in self._token_counts.items())
 
-    def cached(self, parts: Sequence[Part]) -> int:
+    def cached_tokens(self, blocks: Sequence[Part]) -> int:
         """Return the number of tokens at the start of a prompt that need no prefill here.
 
         Blocks whose prefill is in progress count: it ends before that of a later
         request begins.
         """
-        return self._head_tokens(parts, ())
+        return self._prefix_tokens(blocks, ())
 
-    def readable(self, parts: Sequence[Part]) -> int:
+    def fetchable_tokens(self, blocks: Sequence[Part]) -> int:
         """Return the number of tokens at the start of a prompt that other runners can fetch."""
-        return self._head_tokens(parts, self._reading)
+        return self._prefix_tokens(blocks, self._prefills)
 
-    def touch(self, parts: Sequence[Part], reader: str = '') -> None:
+    def touch(self, blocks: Sequence[Part], prefill_id: str = '') -> None:
         """Note that the runner uses these blocks; a second argument names their prefill in progress."""
-        for part in parts:
-            if reader and part.key not in self._held:
-                self._reading[part.key] = reader
-            self._used += part.tokens - self._held.pop(part.key, 0)
-            self._held[part.key] = part.tokens
+        for part in blocks:
+            if prefill_id and part.key not in self._token_counts:
+                self._prefills[part.key] = prefill_id
+            self._used_tokens += part.tokens - self._token_counts.pop(part.key, 0)
+            self._token_counts[part.key] = part.tokens
         self._shrink()
 
-    def recall(self, parts: Sequence[Part]) -> None:
+    def merge_reported(self, reported: Sequence[Part]) -> None:
         """Add the blocks that the runner reports; those in the model already were used later."""
-        known = self.kept
-        self._held = {}
-        self._used = 0
-        self.touch(parts)
+        known = self.blocks
+        self._token_counts = {}
+        self._used_tokens = 0
+        self.touch(reported)
         self.touch(known)
 
-    def read(self, reader: str) -> None:
+    def end_prefill(self, prefill_id: str) -> None:
         """Note that a prefill has ended, so that its blocks can be fetched."""
-        self._reading = {key: name for key, name in self._reading.items() if name != reader}
+        self._prefills = {key: name for key, name in self._prefills.items() if name != prefill_id}
 
     def _shrink(self) -> None:
-        while self._used > self._room and self._held:
-            self._evict(next(iter(self._held)))
+        while self._used_tokens > self._capacity and self._token_counts:
+            self._evict(next(iter(self._token_counts)))
 
     def _evict(self, key: str) -> None:
-        self._used -= self._held.pop(key)
-        self._reading.pop(key, None)
+        self._used_tokens -= self._token_counts.pop(key)
+        self._prefills.pop(key, None)
 
-    def _head_tokens(self, parts: Sequence[Part], unread: Container[str]) -> int:
+    def _prefix_tokens(self, blocks: Sequence[Part], excluded: Container[str]) -> int:
         total = 0
-        for part in parts:
-            if part.key not in self._held or part.key in unread:
+        for part in blocks:
+            if part.key not in self._token_counts or part.key in excluded:
                 break
             total += part.tokens
         return total
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/losses.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/loss_meter.py
@@ -4,7 +4,7 @@
 
 # Seconds after which an observation counts half. Faults last for seconds. An engine
 # that is avoided gives no new observations, so it gets requests again by this decay.
-HALF_S = 2.0
+HALF_LIFE_S = 2.0
 # Good answers that are assumed besides the observed ones: a single lost answer may be
 # chance, or the fault of the instance that missed it.
 PRIOR_ANSWERS = 4.0
@@ -21,13 +21,13 @@
     def __init__(self) -> None:
         """Start without observations."""
         self._lost: float = 0
-        self._all: float = 0
-        self._at: float = 0
+        self._total: float = 0
+        self._updated_at: float = 0
 
-    def note(self, now: float, *, lost: bool) -> None:
+    def observe(self, now: float, *, lost: bool) -> None:
         """Count one answer."""
-        self._fade(now)
-        self._all += 1
+        self._decay(now)
+        self._total += 1
         self._lost += lost
 
     def share(self, now: float) -> float:
@@ -35,14 +35,14 @@
         if not self._lost:
             # The usual case; this is called for each engine at each choice.
             return 0
-        self._fade(now)
-        return self._lost / (self._all + PRIOR_ANSWERS)
+        self._decay(now)
+        return self._lost / (self._total + PRIOR_ANSWERS)
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5 ** ((now - self._at) / HALF_S)
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** ((now - self._updated_at) / HALF_LIFE_S)
         self._lost *= factor
-        self._all *= factor
-        self._at = now
+        self._total *= factor
+        self._updated_at = now
 
 
-__all__ = ('HALF_S', 'LossMeter')
+__all__ = ('HALF_LIFE_S', 'LossMeter')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/paths.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sesamepoint_core.serving.rate import ReadSpeed
 from sesamepoint_core.serving.runner import Stage
+from sesamepoint_core.serving.speed_meters import PrefillSpeed
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping, Sequence
@@ -14,18 +14,18 @@
 # engines' operator).
 DECODE_SLOWDOWN = 2.0
 # Seconds from the transfer of a prompt's KV cache to an idle decode engine to its first token.
-SECOND_STEP_S = 0.025
+DECODE_STEP_S = 0.025
 # Seconds that fetching prefix blocks from another engine takes besides the transfer.
-FETCH_S = 0.025
+FETCH_OVERHEAD_S = 0.025
 # A transfer between zones takes so many times as long as one within a zone, and its
 # bytes are charged for (published by the engines' operator).
-AWAY_FACTOR = 2.0
+CROSS_ZONE_FACTOR = 2.0
 # KV cache that is transferred to a decode engine evicts prefix blocks there. Each
 # position in the order of decode engines costs this many seconds, so that requests
 # with a remote prefill gather at the first engines and the others keep their blocks.
 ORDER_S = 0.01
 # Cost of a second of engine time for the requests queued after it, in seconds of waiting.
-OTHERS_WEIGHT = 1.0
+QUEUED_WEIGHT = 1.0
 # Share of an engine's memory that running requests may occupy. Beyond it engines
 # preempt requests and prefill them again, which costs more than waiting.
 MEMORY_SHARE = 0.8
@@ -34,27 +34,27 @@
 HARMLESS_SHARE = 0.8
 # Cost of a missed deadline of the request to be placed, relative to that of a stream
 # that it disturbs: long prompts are worth more than the short ones of most streams.
-OWN_WEIGHT = 2.0
+OWN_LATE_WEIGHT = 2.0
 # Up to this share of the time left, a placement counts as on time. Beyond it, the
 # probability that it misses the deadline rises linearly to 1.
-SAFE_SHARE = 0.8
+ON_TIME_SHARE = 0.8
 # Least spare time of a pause, as a share of the longest pause allowed.
 MIN_FREE_SHARE = 0.2
 # Prefill at a decode engine delays each answer there by its duration. The cost is a
 # share of that time for each answer: small while slots are free, all of it when none
 # is, since each answer then keeps others waiting for its slot. In between it grows as
 # this power of the share of slots in use.
-SLOWING_SHARE = 0.05
-SLOWING_POWER = 4.0
+SLOWDOWN_SHARE = 0.05
+SLOWDOWN_POWER = 4.0
 # Cost of a failed remote prefill, as a share of the cost of a lost answer: the prompt
 # is prefilled again, somewhat later.
-REREAD_SHARE = 0.3
+PREFILL_LOSS_SHARE = 0.3
 # Least cost of a prefill at an engine with a rate limit, relative to the time until the
 # limit allows the next request: small prompts should leave its permits to large ones.
-PLACE_WEIGHT = 2.0
+RATE_LIMIT_WEIGHT = 2.0
 # Cost of an engine without free memory or slots, in seconds. It is high enough that such
 # an engine is used only if all are like that.
-CROWDED_S = 2.0
+CROWDED_COST_S = 2.0
 
 
 class EngineView(NamedTuple):
@@ -64,13 +64,13 @@
     ----------
     wait_s
         Seconds until a request that is sent now would begin.
-    fresh_tokens
+    uncached_tokens
         Prompt tokens that it would have to prefill.
     fetch_tokens
         Prompt tokens that it would fetch from another engine.
     streams
         Answers in progress that can still meet their deadlines.
-    read_lately_s
+    recent_prefill_s
         Seconds of prefill work that were sent to it within the length of a pause.
     fill
         Share of its slots in use.
@@ -84,7 +84,7 @@
         Its availability zone.
     lost_share
         Recent share of lost answers, as observed by all instances.
-    place_s
+    permit_interval_s
         For a prefill engine, seconds until its rate limit allows the next request; 0
         without a limit. A prompt costs at least this time.
     """
@@ -92,20 +92,20 @@
     runner: str
     stage: Stage
     wait_s: float
-    fresh_tokens: int
+    uncached_tokens: int
     fetch_tokens: int = 0
     streams: int = 0
-    read_lately_s: float = 0
+    recent_prefill_s: float = 0
     fill: float = 0
     crowded: bool = False
     pace: float = 1.0
     order: int = 0
     zone: str = ''
     lost_share: float = 0
-    place_s: float = 0
+    permit_interval_s: float = 0
 
 
-class Path(NamedTuple):
+class Placement(NamedTuple):
     """The runners that serve a request, with the estimated times and cost.
 
     Parameters
@@ -153,23 +153,23 @@
         one, in seconds of waiting.
     """
 
-    reading: ReadSpeed
+    reading: PrefillSpeed
     transfer_tokens_s: float
     pause_s: float = 0
     plain_pause_s: float = 0
     late_cost_s: float = 0
     lost_cost_s: float = 0
     on_time_s: float = 0
-    prefill_price: float = OTHERS_WEIGHT
-    decode_price: float = OTHERS_WEIGHT
+    prefill_price: float = QUEUED_WEIGHT
+    decode_price: float = QUEUED_WEIGHT
 
 
-def best_path(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Path | None:
+def best_placement(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Placement | None:
     """Return the placement of least cost, or None if there is no decode engine."""
-    return min(all_paths(views, speeds, prompt_tokens), key=_cost, default=None)
+    return min(all_placements(views, speeds, prompt_tokens), key=_cost, default=None)
 
 
-def all_paths(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Iterator[Path]:
+def all_placements(views: Sequence[EngineView], speeds: Speeds, prompt_tokens: int) -> Iterator[Placement]:
     """Yield a placement for each decode engine alone, and one for each prefill engine.
 
     The choice of the decode engine depends on the prefill engine only by the transfer
@@ -178,19 +178,19 @@
     decoders = [view for view in views if view.stage is Stage.decode]
     if not decoders:
         return
-    best_decoders = _places(decoders, speeds)
+    best_decoders = _best_decoders(decoders, speeds)
     transfer_s = prompt_tokens / speeds.transfer_tokens_s
-    decode_steps: dict[str, SecondStep] = {}
+    decode_steps: dict[str, DecodeStep] = {}
     for view in views:
         if view.stage is Stage.prefill:
             if view.zone not in decode_steps:
-                decode_steps[view.zone] = _nearest(best_decoders, view.zone, transfer_s)
-            yield _two_step(view, decode_steps[view.zone], speeds, prompt_tokens)
+                decode_steps[view.zone] = _cheapest_decode_step(best_decoders, view.zone, transfer_s)
+            yield _split_placement(view, decode_steps[view.zone], speeds, prompt_tokens)
         elif view.stage is Stage.decode:
-            yield _whole(view, speeds, prompt_tokens)
+            yield _whole_placement(view, speeds, prompt_tokens)
 
 
-class SecondStep(NamedTuple):
+class DecodeStep(NamedTuple):
     """The decode engine for a request with a remote prefill.
 
     Parameters
@@ -208,92 +208,96 @@
     transfer_s: float
 
 
-class _Place(NamedTuple):
+class _Decoder(NamedTuple):
     """A decode engine and its cost without the transfer, in seconds of waiting."""
 
     cost: float
     runner: str
 
 
-def best_second_step(decoders: Sequence[EngineView], speeds: Speeds, zone: str, tokens: int) -> SecondStep:
+def best_decode_step(decoders: Sequence[EngineView], speeds: Speeds, prefill_zone: str, tokens: int) -> DecodeStep:
     """Return the best decode engine for ``tokens`` of KV cache, by the zone of the prefill engine."""
-    return _nearest(_places(decoders, speeds), zone, tokens / speeds.transfer_tokens_s)
+    return _cheapest_decode_step(_best_decoders(decoders, speeds), prefill_zone, tokens / speeds.transfer_tokens_s)
 
 
-def _whole(view: EngineView, speeds: Speeds, prompt_tokens: int) -> Path:
-    work_s = DECODE_SLOWDOWN * view.pace * speeds.reading.read_s(view.fresh_tokens, prompt_tokens)
+def _whole_placement(view: EngineView, speeds: Speeds, prompt_tokens: int) -> Placement:
+    work_s = DECODE_SLOWDOWN * view.pace * speeds.reading.prefill_s(view.uncached_tokens, prompt_tokens)
     first_s = speeds.reading.overhead_s + view.wait_s + work_s + _fetch_s(view, speeds)
-    earlier_s = max(view.wait_s, view.read_lately_s)
+    earlier_s = max(view.wait_s, view.recent_prefill_s)
     # The prefill lengthens the pauses of all streams at this engine, and prefill work
     # sent earlier lengthens those of this request.
     others_cost = view.streams * _late_pause_cost_s(work_s + earlier_s, speeds)
-    others_cost += (SLOWING_SHARE + view.fill**SLOWING_POWER) * view.streams * work_s
+    others_cost += (SLOWDOWN_SHARE + view.fill**SLOWDOWN_POWER) * view.streams * work_s
     own_cost = _own_pause_cost_s(earlier_s, first_s, speeds)
     cost = first_s + speeds.decode_price * work_s + _late_cost_s(first_s, speeds)
     cost += _crowding_s(view) + view.lost_share * speeds.lost_cost_s
-    return Path('', view.runner, first_s, work_s, cost + others_cost + own_cost)
+    return Placement('', view.runner, first_s, work_s, cost + others_cost + own_cost)
 
 
-def _two_step(view: EngineView, second: SecondStep, speeds: Speeds, prompt_tokens: int) -> Path:
-    work_s = view.pace * speeds.reading.read_s(view.fresh_tokens, prompt_tokens)
-    transfer_s = second.transfer_s + _fetch_s(view, speeds)
-    first_s = speeds.reading.overhead_s + view.wait_s + work_s + transfer_s + SECOND_STEP_S
-    cost = first_s + second.cost + speeds.prefill_price * max(work_s + transfer_s, PLACE_WEIGHT * view.place_s)
+def _split_placement(view: EngineView, decode_step: DecodeStep, speeds: Speeds, prompt_tokens: int) -> Placement:
+    work_s = view.pace * speeds.reading.prefill_s(view.uncached_tokens, prompt_tokens)
+    transfer_s = decode_step.transfer_s + _fetch_s(view, speeds)
+    first_s = speeds.reading.overhead_s + view.wait_s + work_s + transfer_s + DECODE_STEP_S
+    cost = (
+        first_s
+        + decode_step.cost
+        + speeds.prefill_price * max(work_s + transfer_s, RATE_LIMIT_WEIGHT * view.permit_interval_s)
+    )
     # If the prefill fails, another engine can do it.
-    cost += REREAD_SHARE * view.lost_share * speeds.lost_cost_s
-    return Path(view.runner, second.runner, first_s, work_s, cost + _late_cost_s(first_s, speeds))
+    cost += PREFILL_LOSS_SHARE * view.lost_share * speeds.lost_cost_s
+    return Placement(view.runner, decode_step.runner, first_s, work_s, cost + _late_cost_s(first_s, speeds))
 
 
 def _fetch_s(view: EngineView, speeds: Speeds) -> float:
-    return FETCH_S + view.fetch_tokens / speeds.transfer_tokens_s if view.fetch_tokens else 0
+    return FETCH_OVERHEAD_S + view.fetch_tokens / speeds.transfer_tokens_s if view.fetch_tokens else 0
 
 
-def _places(decoders: Sequence[EngineView], speeds: Speeds) -> dict[str, _Place]:
+def _best_decoders(decoders: Sequence[EngineView], speeds: Speeds) -> dict[str, _Decoder]:
     """Return the best decode engine of each zone; its cost doesn't depend on the prefill engine.
 
     Computed once for all zones of prefill engines, a choice among 38 engines in six zones
     takes 331 us; computed for each zone it took 376 us (the best of six runs each).
     """
-    best: dict[str, _Place] = {}
+    best: dict[str, _Decoder] = {}
     for view in decoders:
-        decoder = _Place(_second_step_cost(view, speeds), view.runner)
+        decoder = _Decoder(_decode_step_cost(view, speeds), view.runner)
         best[view.zone] = min(decoder, best.get(view.zone, decoder))
     return best
 
 
-def _nearest(places: Mapping[str, _Place], zone: str, near_s: float) -> SecondStep:
-    """Return the cheapest decode step for KV cache in ``zone``, with its transfer time within the zone given."""
+def _cheapest_decode_step(decoders: Mapping[str, _Decoder], prefill_zone: str, in_zone_s: float) -> DecodeStep:
+    """Return the cheapest decode step for KV cache in ``prefill_zone``, with its transfer time within the zone given."""
     return min(
-        _step_to(decoder, near_s if decode_zone == zone else AWAY_FACTOR * near_s)
-        for decode_zone, decoder in places.items()
+        _decode_step(decoder, in_zone_s if decode_zone == prefill_zone else CROSS_ZONE_FACTOR * in_zone_s)
+        for decode_zone, decoder in decoders.items()
     )
 
 
-def _step_to(place: _Place, transfer_s: float) -> SecondStep:
-    return SecondStep(place.cost + transfer_s, place.runner, transfer_s)
+def _decode_step(decoder: _Decoder, transfer_s: float) -> DecodeStep:
+    return DecodeStep(decoder.cost + transfer_s, decoder.runner, transfer_s)
 
 
-def _second_step_cost(view: EngineView, speeds: Speeds) -> float:
+def _decode_step_cost(view: EngineView, speeds: Speeds) -> float:
     """Return the cost of decoding here after a remote prefill, without the transfer."""
-    late_s = _late_pause_cost_s(max(view.wait_s, view.read_lately_s), speeds)
+    late_s = _late_pause_cost_s(max(view.wait_s, view.recent_prefill_s), speeds)
     risk_s = view.lost_share * speeds.lost_cost_s
     return view.wait_s + late_s + risk_s + _crowding_s(view) + ORDER_S * view.order
 
 
 def _late_cost_s(first_s: float, speeds: Speeds) -> float:
-    """Return the expected cost of a missed deadline if the first token comes after ``first_s``."""
+    """Return the expected cost of a missed deadline if the first token comes after ``first_byte_s``."""
     if speeds.on_time_s <= 0:
         return 0
-    probability = (first_s / speeds.on_time_s - SAFE_SHARE) / (1 - SAFE_SHARE)
-    return OWN_WEIGHT * speeds.late_cost_s * min(max(probability, 0), 1)
+    probability = (first_s / speeds.on_time_s - ON_TIME_SHARE) / (1 - ON_TIME_SHARE)
+    return OWN_LATE_WEIGHT * speeds.late_cost_s * min(max(probability, 0), 1)
 
 
-def _own_pause_cost_s(reading_s: float, first_s: float, speeds: Speeds) -> float:
+def _own_pause_cost_s(prefill_s: float, first_s: float, speeds: Speeds) -> float:
     """Return the cost of pauses for the request itself: none if it misses its deadline anyway."""
-    return 0 if first_s > speeds.on_time_s else _late_pause_cost_s(reading_s, speeds)
+    return 0 if first_s > speeds.on_time_s else _late_pause_cost_s(prefill_s, speeds)
 
 
-def _late_pause_cost_s(read_s: float, speeds: Speeds) -> float:
+def _late_pause_cost_s(prefill_s: float, speeds: Speeds) -> float:
     """Return the expected cost for a stream of some seconds of prefill at the same engine.
 
     Between two tokens an engine prefills a chunk of a prompt. A prefill that fills
@@ -302,26 +306,26 @@
     free_s = max(speeds.pause_s - speeds.plain_pause_s, MIN_FREE_SHARE * speeds.pause_s)
     if free_s <= 0:
         return 0
-    probability = (read_s / free_s - HARMLESS_SHARE) / (1 - HARMLESS_SHARE)
+    probability = (prefill_s / free_s - HARMLESS_SHARE) / (1 - HARMLESS_SHARE)
     return speeds.late_cost_s * min(max(probability, 0), 1)
 
 
 def _crowding_s(view: EngineView) -> float:
-    return CROWDED_S if view.crowded else 0
+    return CROWDED_COST_S if view.crowded else 0
 
 
-def _cost(path: Path) -> float:
-    return path.cost
+def _cost(placement: Placement) -> float:
+    return placement.cost
 
 
 __all__ = (
+    'DECODE_STEP_S',
     'MEMORY_SHARE',
-    'OTHERS_WEIGHT',
-    'SECOND_STEP_S',
+    'QUEUED_WEIGHT',
     'EngineView',
-    'Path',
+    'Placement',
     'Speeds',
-    'all_paths',
-    'best_path',
-    'best_second_step',
+    'all_placements',
+    'best_decode_step',
+    'best_placement',
 )
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
@@ -8,7 +8,7 @@
 from sesamepoint_core.serving.accounts import Accounts
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """How a request may be retried.
 
     ``freely``: it may run any number of times. ``resume``: its stream may
@@ -21,7 +21,7 @@
     never = 'never'
 
 
-class Share(NamedTuple):
+class ServiceShare(NamedTuple):
     """A service that gets a share of the requests of a route, by weight."""
 
     service: str
@@ -52,18 +52,18 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     streamed: bool
     timeout_s: float
     target_s: float
     pause_s: float
     max_attempts: int
     priority: int
-    shares: tuple[Share, ...]
+    shares: tuple[ServiceShare, ...]
     public: bool = False
 
 
-class EngineFigures(NamedTuple):
+class EngineSpec(NamedTuple):
     """Capacity of an engine of a service, as published by the operator.
 
     Parameters
@@ -97,7 +97,7 @@
 
     name: str
     max_conns: int
-    engine: EngineFigures | None = None
+    engine: EngineSpec | None = None
 
 
 class CallerLimits(NamedTuple):
@@ -110,7 +110,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of the operator's configuration; ``accounts`` is None if requests need no key."""
+    """One version of the operator's configuration; ``account_limits`` is None if requests need no key."""
 
     version: int
     routes: dict[str, tuple[Route, ...]]
@@ -135,7 +135,7 @@
         return cls(version, index, {service.name: service for service in services}, limits, accounts)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix of ``path``, or None."""
+        """Return the route of ``host`` with the longest prefix of ``placement``, or None."""
         for route in self.routes.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
@@ -146,12 +146,4 @@
     return -len(route.prefix)
 
 
-__all__ = (
-    'CallerLimits',
-    'Configuration',
-    'EngineFigures',
-    'Repeat',
-    'Route',
-    'Service',
-    'Share',
-)
+__all__ = ('CallerLimits', 'Configuration', 'EngineSpec', 'RepeatPolicy', 'Route', 'Service', 'ServiceShare')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
@@ -18,7 +18,7 @@
 
 
 class Stage(Enum):
-    """What an engine does: prefill only, or decode too; ``plain`` runners are no engines."""
+    """What an engine does: prefill only, or decode too; ``plain_runner`` runners are no engines."""
 
     prefill = 'prefill'
     decode = 'decode'
@@ -32,7 +32,7 @@
     ----------
     key
         Identifies the runner; it keeps its key when it restarts.
-    leaving
+    draining
         Whether it has announced that it will stop.
     born_ms
         Start time of this incarnation, in milliseconds since 1970 by the runner's
@@ -45,7 +45,7 @@
     address: Address
     zone: str
     slots: int
-    leaving: bool
+    draining: bool
     stage: Stage
     born_ms: int = 0
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/problems.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/validation_errors.py
@@ -23,8 +23,8 @@
 )
 
 
-def describe(exc: ValidationError) -> Iterator[str]:
-    """Yield a line ``path: problem; remedy`` for each error."""
+def describe_errors(exc: ValidationError) -> Iterator[str]:
+    """Yield a line ``placement: problem; remedy`` for each error."""
     for error in exc.errors():
         path = '.'.join(str(part) for part in error['loc']) or 'document'
         yield f'{path}: {_found(error)}; {_REMEDIES.get(error["type"], "change it")}'
@@ -38,4 +38,4 @@
     return f'{message}, found {shown:.60}'
 
 
-__all__ = ('describe',)
+__all__ = ('describe_errors',)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/web.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/asgi_apps.py
@@ -11,12 +11,12 @@
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint_core.units import MS_PER_S
 from sesamepoint_standins.engine import Engine, EngineRefusedError, EngineRequest
-from sesamepoint_standins.engine_model import seed_of
+from sesamepoint_standins.engine_model import answer_seed
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from sesamepoint_standins.log import MemoryInstances, MemoryLog
+    from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 
     Receive = Callable[[], Awaitable[dict[str, Any]]]
     Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -29,7 +29,7 @@
 DONE_EVENT = b'data: [DONE]\n\n'
 
 
-class Call(NamedTuple):
+class HttpRequest(NamedTuple):
     """HTTP request to a stand-in."""
 
     method: str
@@ -38,14 +38,14 @@
     body: bytes
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """Complete HTTP response."""
 
     status: int
     body: bytes
 
 
-class CompletionCall(msgspec.Struct):
+class EngineCompletion(msgspec.Struct):
     """Fields of a completion request that the engine uses."""
 
     prompt: str
@@ -57,14 +57,14 @@
     prefix_tokens: int = 0
 
 
-class OrderCall(msgspec.Struct):
+class EngineOrder(msgspec.Struct):
     """Order to change the role of the engine."""
 
     role: str
     fence: int
 
 
-async def read_call(scope: dict[str, Any], receive: Receive) -> Call:
+async def read_request(scope: dict[str, Any], receive: Receive) -> HttpRequest:
     """Read the request of an ASGI scope with its whole body."""
     body = b''
     more = True
@@ -72,14 +72,14 @@
         message = await receive()
         body += message.get('body', b'')
         more = message.get('more_body', False)
-    return Call(scope['method'], scope['path'], parse_qs(scope['query_string'].decode()), body)
+    return HttpRequest(scope['method'], scope['path'], parse_qs(scope['query_string'].decode()), body)
 
 
-async def send_answer(send: Send, answer: Answer) -> None:
+async def send_response(send: Send, response: HttpResponse) -> None:
     """Send a complete response."""
-    headers = [(b'content-length', str(len(answer.body)).encode()), (b'content-type', b'application/json')]
-    await send({'type': 'http.response.start', 'status': answer.status, 'headers': headers})
-    await send({'type': 'http.response.body', 'body': answer.body})
+    headers = [(b'content-length', str(len(response.body)).encode()), (b'content-type', b'application/json')]
+    await send({'type': 'http.response.start', 'status': response.status, 'headers': headers})
+    await send({'type': 'http.response.body', 'body': response.body})
 
 
 class PlatformApp:
@@ -92,60 +92,60 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Answer one request."""
-        call = await read_call(scope, receive)
+        call = await read_request(scope, receive)
         try:
-            answer = await self._answer(call)
+            answer = await self._respond(call)
         except PlatformUnavailableError as exc:
-            answer = Answer(STATUS_UNAVAILABLE, str(exc).encode())
-        await send_answer(send, answer)
-
-    async def _answer(self, call: Call) -> Answer:
-        if call.path == '/instances':
-            return Answer(STATUS_OK, msgspec.json.encode(await self._instances.fetch()))
-        stream = call.path.removeprefix('/streams/')
-        if call.method == 'POST':
-            offset = await self._log.append(stream, call.body)
-            return Answer(STATUS_OK, msgspec.json.encode(AppendReply(offset)))
-        start = int(call.query['from'][0])
-        page = await self._log.read(stream, start, int(call.query['wait_ms'][0]) / MS_PER_S)
+            answer = HttpResponse(STATUS_UNAVAILABLE, str(exc).encode())
+        await send_response(send, answer)
+
+    async def _respond(self, request: HttpRequest) -> HttpResponse:
+        if request.path == '/instances':
+            return HttpResponse(STATUS_OK, msgspec.json.encode(await self._instances.fetch()))
+        stream = request.path.removeprefix('/streams/')
+        if request.method == 'POST':
+            offset = await self._log.append(stream, request.body)
+            return HttpResponse(STATUS_OK, msgspec.json.encode(AppendReply(offset)))
+        start = int(request.query['from'][0])
+        page = await self._log.read(stream, start, int(request.query['wait_ms'][0]) / MS_PER_S)
         records = tuple((record.offset, record.payload.decode()) for record in page.records)
-        return Answer(STATUS_OK, msgspec.json.encode(ReadReply(page.earliest, page.end, records)))
+        return HttpResponse(STATUS_OK, msgspec.json.encode(ReadReply(page.earliest, page.end, records)))
 
 
 class EngineApp:
     """Application for one engine."""
 
     def __init__(self, engine: Engine) -> None:
-        """Serve ``engine``."""
+        """Serve ``plan``."""
         self._engine = engine
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Answer one request."""
-        call = await read_call(scope, receive)
+        call = await read_request(scope, receive)
         if call.path == '/v1/completions':
             await self._complete(call, send)
         else:
-            await send_answer(send, self._answer(call))
-
-    def _answer(self, call: Call) -> Answer:
-        if call.path == '/load':
-            return Answer(STATUS_OK, msgspec.json.encode(self._engine.load()._asdict()))
-        if call.path == '/v1/cancel':
-            self._engine.cancel(msgspec.json.decode(call.body)['request_id'])
-            return Answer(STATUS_OK, b'{}')
-        if call.path == '/orders':
-            return self._order(msgspec.json.decode(call.body, type=OrderCall))
-        return Answer(STATUS_NOT_FOUND, b'{}')
-
-    def _order(self, order: OrderCall) -> Answer:
+            await send_response(send, self._respond(call))
+
+    def _respond(self, request: HttpRequest) -> HttpResponse:
+        if request.path == '/load':
+            return HttpResponse(STATUS_OK, msgspec.json.encode(self._engine.load()._asdict()))
+        if request.path == '/v1/cancel':
+            self._engine.cancel(msgspec.json.decode(request.body)['request_id'])
+            return HttpResponse(STATUS_OK, b'{}')
+        if request.path == '/orders':
+            return self._order(msgspec.json.decode(request.body, type=EngineOrder))
+        return HttpResponse(STATUS_NOT_FOUND, b'{}')
+
+    def _order(self, order: EngineOrder) -> HttpResponse:
         try:
             self._engine.order(order.role, order.fence)
         except EngineRefusedError as exc:
-            return Answer(STATUS_CONFLICT, str(exc).encode())
-        return Answer(STATUS_OK, b'{}')
+            return HttpResponse(STATUS_CONFLICT, str(exc).encode())
+        return HttpResponse(STATUS_OK, b'{}')
 
-    async def _complete(self, call: Call, send: Send) -> None:
-        body = msgspec.json.decode(call.body, type=CompletionCall)
+    async def _complete(self, request: HttpRequest, send: Send) -> None:
+        body = msgspec.json.decode(request.body, type=EngineCompletion)
         req = EngineRequest(
             body.request_id,
             body.prompt_tokens,
@@ -153,7 +153,7 @@
             body.priority,
             body.prefix,
             body.prefix_tokens,
-            seed_of(body.prompt.encode()),
+            answer_seed(body.prompt.encode()),
         )
         headers = [(b'content-type', b'text/event-stream')]
         await send({'type': 'http.response.start', 'status': STATUS_OK, 'headers': headers})
@@ -171,14 +171,14 @@
 
     def __init__(self) -> None:
         """Start without requests."""
-        self.runs: list[str] = []
+        self.requests: list[str] = []
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Answer one request."""
-        call = await read_call(scope, receive)
-        self.runs.append(f'{call.method} {call.path}')
+        call = await read_request(scope, receive)
+        self.requests.append(f'{call.method} {call.path}')
         body = {'method': call.method, 'path': call.path, 'bytes': len(call.body)}
-        await send_answer(send, Answer(STATUS_OK, msgspec.json.encode(body)))
+        await send_response(send, HttpResponse(STATUS_OK, msgspec.json.encode(body)))
 
 
 __all__ = ('EngineApp', 'PlainApp', 'PlatformApp')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/cli.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/cli.py
@@ -20,10 +20,10 @@
 import trio
 
 from sesamepoint.command_line import run_command_line
-from sesamepoint.process.web import serve_web
+from sesamepoint.process.asgi_server import serve_asgi
+from sesamepoint_standins.asgi_apps import EngineApp, PlainApp, PlatformApp
 from sesamepoint_standins.engine import Engine
-from sesamepoint_standins.log import MemoryInstances, MemoryLog
-from sesamepoint_standins.web import EngineApp, PlainApp, PlatformApp
+from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -31,14 +31,14 @@
 
 async def serve_platform(address: str) -> None:
     """Serve the log and the list of instances at ``address``."""
-    await serve_web(PlatformApp(MemoryLog(), MemoryInstances()), address)
+    await serve_asgi(PlatformApp(MemoryLog(), MemoryInstances()), address)
 
 
 async def serve_engine(address: str, engine: Engine) -> None:
     """Run and serve one engine at ``address``."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(engine.run)
-        await serve_web(EngineApp(engine), address)
+        await serve_asgi(EngineApp(engine), address)
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -54,7 +54,7 @@
         engine = Engine(arguments['--role'], checks_fencing=not arguments['--ignores-fencing'])
         trio.run(serve_engine, address, engine)
     else:
-        trio.run(serve_web, PlainApp(), address)
+        trio.run(serve_asgi, PlainApp(), address)
 
 
 if __name__ == '__main__':
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/bed.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/deployment_bench.py
@@ -22,13 +22,13 @@
 from sesamepoint.entry.fleets import Fleets
 from sesamepoint.entry.tree import entry_children
 from sesamepoint.keys.homes import KeyHomes
-from sesamepoint.incarnation import new_incarnation
+from sesamepoint.unique_ids import new_incarnation
 from sesamepoint.supervisor import Supervisor
 from sesamepoint_standins.engine import Engine
-from sesamepoint_standins.gate import Gate, GatedInstances, GatedLog, GatedUpstream
-from sesamepoint_standins.log import MemoryInstances, MemoryLog
+from sesamepoint_standins.process_faults import PausableInstances, PausableLog, PausableUpstream, ProcessFaults
+from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 from sesamepoint_standins.memory_engine import MemoryEngine
-from sesamepoint_standins.memory_link import Host, MemoryLink, Wire
+from sesamepoint_standins.memory_link import AgentEndpoint, MemoryLink, NetworkPath
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -36,20 +36,20 @@
     from sesamepoint_core.config.model import Configuration, RunnerConfig
 
 # Network delay, one way.
-SAME_ZONE_S = 0.0002
-OTHER_ZONE_S = 0.0015
+SAME_ZONE_DELAY_S = 0.0002
+OTHER_ZONE_DELAY_S = 0.0015
 DEFAULT_ROLE = 'mixed'
 # Tokens per chunk of an answer.
 FLUSH_TOKENS = 64
 
 
-class BedAgent:
+class BenchAgent:
     """One agent process of the bench."""
 
-    def __init__(self, agent: Agent, gate: Gate) -> None:
+    def __init__(self, agent: Agent, faults: ProcessFaults) -> None:
         """Create the process without starting it."""
         self.agent = agent
-        self.gate = gate
+        self.faults = faults
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
 
@@ -67,13 +67,13 @@
         self.scope.cancel()
 
 
-class BedEntry:
+class BenchEntry:
     """One entry process of the bench."""
 
-    def __init__(self, entry: Entry, gate: Gate) -> None:
+    def __init__(self, entry: Entry, faults: ProcessFaults) -> None:
         """Create the process without starting it."""
         self.entry = entry
-        self.gate = gate
+        self.faults = faults
         self.scope = trio.CancelScope()
 
     async def run(self) -> None:
@@ -87,7 +87,7 @@
         self.scope.cancel()
 
 
-class Bed:
+class DeploymentBench:
     """Processes and stand-ins of one deployment."""
 
     def __init__(self, configuration: Configuration, seed: int, nursery: trio.Nursery) -> None:
@@ -97,10 +97,10 @@
         self.instances = MemoryInstances()
         self.engines: dict[str, Engine] = {}
         self.upstreams: dict[str, MemoryEngine] = {}
-        self.agents: dict[str, BedAgent] = {}
-        self.entries: dict[str, BedEntry] = {}
+        self.agents: dict[str, BenchAgent] = {}
+        self.entries: dict[str, BenchEntry] = {}
         self.policy = 'default'
-        self.wires: dict[tuple[str, str], Wire] = {}
+        self.network_paths: dict[tuple[str, str], NetworkPath] = {}
         self._seeds = Random(seed)
         self._nursery = nursery
         for name, runner in configuration['runners'].items():
@@ -115,7 +115,7 @@
         entries: int = 2,
         policy: str = 'default',
         fleets: frozenset[str] | None = None,
-    ) -> AsyncIterator[Bed]:
+    ) -> AsyncIterator[DeploymentBench]:
         """Run a bench with ``entries`` entries and the agents of the configuration.
 
         With ``fleets``, only the agents of these fleets are started.
@@ -133,32 +133,32 @@
             yield bed
             nursery.cancel_scope.cancel()
 
-    def start_agent(self, runner: str) -> BedAgent:
+    def start_agent(self, runner: str) -> BenchAgent:
         """Start a new agent process in a runner's slot."""
-        gate = Gate()
-        follower = self._follower(f'agent-{runner}', gate)
-        upstream = GatedUpstream(self.upstreams[runner], gate)
-        log = GatedLog(self.log, gate)
+        gate = ProcessFaults()
+        follower = self._new_follower(f'agent-{runner}', gate)
+        upstream = PausableUpstream(self.upstreams[runner], gate)
+        log = PausableLog(self.log, gate)
         homes = KeyHomes(log, self.configuration['deployment'], follower.writer, trio.current_time)
-        started = BedAgent(Agent(runner, upstream, follower, homes), gate)
+        started = BenchAgent(Agent(runner, upstream, follower, homes), gate)
         self.agents[runner] = started
         self._nursery.start_soon(started.run)
         return started
 
-    def start_entry(self, name: str) -> BedEntry:
+    def start_entry(self, name: str) -> BenchEntry:
         """Start a new entry process."""
-        gate = Gate()
-        follower = self._follower(name, gate)
+        gate = ProcessFaults()
+        follower = self._new_follower(name, gate)
         zones = sorted({runner['availability_zone'] for runner in self.configuration['runners'].values()})
         zone = zones[len(self.entries) % len(zones)]
         rng = Random(self._seeds.random())
         fleets = Fleets(
             follower,
-            GatedInstances(self.instances, gate),
-            lambda address: self._connect(name, zone, address, gate),
+            PausableInstances(self.instances, gate),
+            lambda address: self._open_link(name, zone, address, gate),
             rng,
         )
-        started = BedEntry(Entry(zone, follower, fleets, rng, self.policy), gate)
+        started = BenchEntry(Entry(zone, follower, fleets, rng, self.policy), gate)
         self.entries[name] = started
         self._nursery.start_soon(started.run)
         return started
@@ -167,18 +167,18 @@
         """Kill an entry process; the connections of its callers break."""
         killed = self.entries.pop(name)
         killed.scope.cancel()
-        killed.gate.paused = True
+        killed.faults.paused = True
 
     async def publish(self, configuration: dict[str, Any]) -> None:
         """Publish on top of the current version and wait until it is applied."""
-        async with self.operator() as follower:
+        async with self.operator_follower() as follower:
             raw = msgspec.Raw(msgspec.json.encode(configuration))
             await follower.submit(Publish(follower.state.version, 'bed', raw))
 
     @asynccontextmanager
-    async def operator(self) -> AsyncIterator[Follower]:
+    async def operator_follower(self) -> AsyncIterator[Follower]:
         """Yield a follower of the control stream, as an operator's tool uses it."""
-        follower = self._follower('operator', Gate())
+        follower = self._new_follower('operator', ProcessFaults())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(follower.follow)
             await follower.recovered.wait()
@@ -193,26 +193,26 @@
         self.upstreams[name] = MemoryEngine(engine)
         self._nursery.start_soon(engine.run)
 
-    def _follower(self, name: str, gate: Gate) -> Follower:
+    def _new_follower(self, name: str, faults: ProcessFaults) -> Follower:
         rng = Random(self._seeds.random())
         writer = new_incarnation(name, rng)
-        return Follower(GatedLog(self.log, gate), self.configuration['deployment'], writer, rng)
+        return Follower(PausableLog(self.log, faults), self.configuration['deployment'], writer, rng)
 
-    def _connect(self, entry: str, zone: str, address: str, gate: Gate) -> MemoryLink:
+    def _open_link(self, entry: str, zone: str, address: str, faults: ProcessFaults) -> MemoryLink:
         runner, cfg = next(
             (name, runner_cfg)
             for name, runner_cfg in self.configuration['runners'].items()
             if runner_cfg['agent'] == address
         )
-        delay_s = SAME_ZONE_S if cfg['availability_zone'] == zone else OTHER_ZONE_S
-        wire = self.wires.setdefault((entry, runner), Wire(delay_s))
-        return MemoryLink(address, wire, lambda: self._host(runner), gate)
+        delay_s = SAME_ZONE_DELAY_S if cfg['availability_zone'] == zone else OTHER_ZONE_DELAY_S
+        wire = self.network_paths.setdefault((entry, runner), NetworkPath(delay_s))
+        return MemoryLink(address, wire, lambda: self._find_agent(runner), faults)
 
-    def _host(self, runner: str) -> Host | None:
+    def _find_agent(self, runner: str) -> AgentEndpoint | None:
         process = self.agents.get(runner)
         if process is None or process.nursery is None or process.scope.cancel_called:
             return None
-        return Host(process.agent, process.gate, process.nursery)
+        return AgentEndpoint(process.agent, process.faults, process.nursery)
 
 
-__all__ = ('Bed', 'BedAgent', 'BedEntry')
+__all__ = ('BenchAgent', 'BenchEntry', 'DeploymentBench')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -13,19 +13,19 @@
 from sesamepoint_standins import engine_model as model
 
 # Decode steps that are simulated with one sleep.
-MAX_STEPS = 16
-SNAPSHOT_S = 0.1
-KEPT_SNAPSHOTS = 64
+MAX_STEPS_PER_SLEEP = 16
+SNAPSHOT_INTERVAL_S = 0.1
+MAX_SNAPSHOTS = 64
 # Averaging time of the reported step duration.
-STEP_MEMORY_S = 4.0
+STEP_AVERAGE_S = 4.0
 # Prefixes in a load report.
-KEPT_PREFIXES = 16
+MAX_REPORTED_PREFIXES = 16
 
 
 class EngineRequest(NamedTuple):
     """Completion request as the engine receives it."""
 
-    name: str
+    request_id: str
     prompt_tokens: int
     output_tokens: int
     priority: int
@@ -38,15 +38,15 @@
     """Order to change the role that the engine refuses."""
 
 
-class _Running:
+class _ActiveRequest:
     """Request that waits or runs in the engine."""
 
-    def __init__(self, req: EngineRequest, left: int, out: trio.MemorySendChannel[str]) -> None:
+    def __init__(self, req: EngineRequest, prefill_left: int, text_channel: trio.MemorySendChannel[str]) -> None:
         self.req = req
-        self.prefill_left = left
+        self.prefill_left = prefill_left
         self.produced = 0
         self.sent = 0
-        self.out = out
+        self.text_channel = text_channel
 
     @property
     def output_left(self) -> int:
@@ -64,7 +64,7 @@
         if due >= flush_tokens or not self.output_left or not self.sent:
             # The engine does not notice a client that disconnects without a cancel.
             with suppress(trio.BrokenResourceError):
-                self.out.send_nowait(model.answer_text(self.req.seed, self.sent, due))
+                self.text_channel.send_nowait(model.answer_text(self.req.seed, self.sent, due))
             self.sent = self.produced
 
 
@@ -92,17 +92,17 @@
         self.reports_frozen = False
         self.orders: list[tuple[str, int]] = []
         self.cut_off = 0
-        self.runs: dict[str, int] = {}
-        self.runs_by_seed: dict[int, int] = {}
-        self.cut_off_by_order = 0
+        self.run_counts: dict[str, int] = {}
+        self.run_counts_by_seed: dict[int, int] = {}
+        self.dropped_by_order = 0
         self._checks_fencing = checks_fencing
         self._flush_tokens = flush_tokens
-        self._waiting: list[_Running] = []
-        self._running: list[_Running] = []
+        self._waiting: list[_ActiveRequest] = []
+        self._running: list[_ActiveRequest] = []
         self._cache: OrderedDict[str, int] = OrderedDict()
-        self._arrived = Signal()
-        self._reports: deque[tuple[float, UpstreamLoad]] = deque(maxlen=KEPT_SNAPSHOTS)
-        self._change_over = Signal()
+        self._work_changed = Signal()
+        self._reports: deque[tuple[float, UpstreamLoad]] = deque(maxlen=MAX_SNAPSHOTS)
+        self._role_change_aborted = Signal()
         self._step_s = model.BASE_STEP_S
 
     def submit(self, req: EngineRequest) -> trio.MemoryReceiveChannel[str]:
@@ -112,20 +112,20 @@
         """
         sender, receiver = trio.open_memory_channel[str](float('inf'))
         cached = self._cached_tokens(req)
-        self.runs[req.name] = self.runs.get(req.name, 0) + 1
-        self.runs_by_seed[req.seed] = self.runs_by_seed.get(req.seed, 0) + 1
-        self._waiting.append(_Running(req, max(req.prompt_tokens - cached, 1), sender))
+        self.run_counts[req.request_id] = self.run_counts.get(req.request_id, 0) + 1
+        self.run_counts_by_seed[req.seed] = self.run_counts_by_seed.get(req.seed, 0) + 1
+        self._waiting.append(_ActiveRequest(req, max(req.prompt_tokens - cached, 1), sender))
         self._waiting.sort(key=lambda active: -active.req.priority)
-        self._arrived.set_off()
+        self._work_changed.set_off()
         return receiver
 
-    def cancel(self, name: str) -> None:
+    def cancel(self, request_id: str) -> None:
         """Drop a waiting or running request."""
-        for active in self._inside(name):
+        for active in self._active_requests(request_id):
             queue = self._waiting if active in self._waiting else self._running
             queue.remove(active)
-            active.out.close()
-            self._arrived.set_off()
+            active.text_channel.close()
+            self._work_changed.set_off()
 
     def load(self) -> UpstreamLoad:
         """Return the delayed load report; ``role`` and ``changing`` are current."""
@@ -152,34 +152,34 @@
             raise EngineRefusedError('a role change is in progress')
         self.fence = max(fence, self.fence)
         self.orders.append((role, fence))
-        self.cut_off_by_order += len(self._inside())
+        self.dropped_by_order += len(self._active_requests())
         self._drop_all()
         self._cache.clear()
         self.changing = True
         self.role = model.HALF_SWITCHED
         self._target = role
-        self._arrived.set_off()
+        self._work_changed.set_off()
 
     def crash(self) -> None:
         """Drop all requests and the cache; a role change in progress stays unfinished."""
         self._drop_all()
         self._cache.clear()
         self.changing = False
-        self._change_over.set_off()
+        self._role_change_aborted.set_off()
 
     async def run(self) -> None:
         """Run steps until cancelled."""
         while True:
             if self.changing:
-                await self._change()
+                await self._change_role()
             elif self._waiting or self._running:
                 await self._step()
             else:
                 self._snapshot(idle=True)
-                await self._arrived.wait()
+                await self._work_changed.wait()
 
-    async def _change(self) -> None:
-        if await self._change_over.wait_at_most(self.role_change_s):
+    async def _change_role(self) -> None:
+        if await self._role_change_aborted.wait_at_most(self.role_change_s):
             return
         self.role = self._target
         self.changing = False
@@ -187,7 +187,7 @@
     async def _step(self) -> None:
         profile = model.PROFILES.get(self.role)
         if profile is None:
-            await self._arrived.wait_at_most(SNAPSHOT_S)
+            await self._work_changed.wait_at_most(SNAPSHOT_INTERVAL_S)
             return
         chunk = self._plan_chunk(profile)
         if chunk:
@@ -196,7 +196,7 @@
             await self._decode_steps()
         self._snapshot()
 
-    def _plan_chunk(self, profile: model.Profile) -> list[tuple[_Running, int]]:
+    def _plan_chunk(self, profile: model.RoleProfile) -> list[tuple[_ActiveRequest, int]]:
         budget = profile.chunk_tokens
         chunk = []
         for active in self._waiting[: max(profile.max_running - len(self._running), 0)]:
@@ -206,46 +206,46 @@
             budget -= tokens
         return chunk
 
-    async def _mixed_step(self, chunk: list[tuple[_Running, int]]) -> None:
+    async def _mixed_step(self, chunk: list[tuple[_ActiveRequest, int]]) -> None:
         decoding = list(self._running)
         chunk_tokens = sum(tokens for _, tokens in chunk)
         step_s = model.step_s(chunk_tokens, len(decoding))
-        self._note_step(step_s, 1)
+        self._average_step(step_s, 1)
         await trio.sleep(step_s * self.slowdown)
         for active, tokens in chunk:
             active.prefill_left -= tokens
             if not active.prefill_left and active in self._waiting:
                 self._waiting.remove(active)
                 self._running.append(active)
-                self._remember_prefix(active.req)
+                self._cache_prefix(active.req)
                 active.produce(1, self._flush_tokens)
         self._produce(decoding, 1)
 
     async def _decode_steps(self) -> None:
         decoding = list(self._running)
-        self._note_step(model.step_s(0, len(decoding)), MAX_STEPS)
+        self._average_step(model.step_s(0, len(decoding)), MAX_STEPS_PER_SLEEP)
         step_s = model.step_s(0, len(decoding)) * self.slowdown
-        steps = min(MAX_STEPS, min(active.output_left for active in decoding))
+        steps = min(MAX_STEPS_PER_SLEEP, min(active.output_left for active in decoding))
         started = trio.current_time()
-        if await self._arrived.wait_at_most(steps * step_s):
+        if await self._work_changed.wait_at_most(steps * step_s):
             started_steps = int((trio.current_time() - started) / step_s) + 1
             steps = min(steps, started_steps)
             await trio.sleep(max(started + steps * step_s - trio.current_time(), 0))
         self._produce(decoding, steps)
 
-    def _note_step(self, one_s: float, steps: int) -> None:
+    def _average_step(self, step_s: float, steps: int) -> None:
         """Update the average duration of a step, in seconds."""
-        weight = min(steps * one_s / STEP_MEMORY_S, 1)
-        self._step_s += weight * (one_s - self._step_s)
+        weight = min(steps * step_s / STEP_AVERAGE_S, 1)
+        self._step_s += weight * (step_s - self._step_s)
 
-    def _produce(self, decoding: list[_Running], steps: int) -> None:
+    def _produce(self, decoding: list[_ActiveRequest], steps: int) -> None:
         for active in decoding:
             if active in self._running:
                 active.produce(steps, self._flush_tokens)
         done = [ended for ended in self._running if not ended.output_left]
         for finished in done:
             self._running.remove(finished)
-            finished.out.close()
+            finished.text_channel.close()
 
     def _cached_tokens(self, req: EngineRequest) -> int:
         cached = self._cache.get(req.prefix, 0)
@@ -253,26 +253,26 @@
             self._cache.move_to_end(req.prefix)
         return min(cached, req.prefix_tokens)
 
-    def _remember_prefix(self, req: EngineRequest) -> None:
+    def _cache_prefix(self, req: EngineRequest) -> None:
         if req.prefix:
             self._cache[req.prefix] = req.prefix_tokens
         while sum(self._cache.values()) > model.PREFIX_CACHE_TOKENS:
             self._cache.popitem(last=False)
 
     def _drop_all(self) -> None:
-        self.cut_off += len(self._inside())
-        for dropped in self._inside():
-            dropped.out.close()
+        self.cut_off += len(self._active_requests())
+        for dropped in self._active_requests():
+            dropped.text_channel.close()
         self._waiting.clear()
         self._running.clear()
 
-    def _inside(self, name: str = '') -> list[_Running]:
+    def _active_requests(self, request_id: str = '') -> list[_ActiveRequest]:
         inside = [*self._waiting, *self._running]
-        return [active for active in inside if name in {active.req.name, ''}]
+        return [active for active in inside if request_id in {active.req.request_id, ''}]
 
     def _snapshot(self, *, idle: bool = False) -> None:
         now = trio.current_time()
-        recent = bool(self._reports) and now - self._reports[-1][0] < SNAPSHOT_S
+        recent = bool(self._reports) and now - self._reports[-1][0] < SNAPSHOT_INTERVAL_S
         if self._reports and (self.reports_frozen or (recent and not idle)):
             return
         running = len(self._running)
@@ -285,7 +285,7 @@
             running=running,
             prefill_rate=model.prefill_rate(self.role, running) / self.slowdown,
             token_s=self._step_s * self.slowdown,
-            prefixes=tuple(self._cache)[-KEPT_PREFIXES:],
+            prefixes=tuple(self._cache)[-MAX_REPORTED_PREFIXES:],
             slots=model.PROFILES[self.role].max_running if self.role in model.PROFILES else 0,
         )
         self._reports.append((now, load))
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
@@ -21,7 +21,7 @@
 REPORT_LAG_S: Final = 0.3
 
 
-class Profile(NamedTuple):
+class RoleProfile(NamedTuple):
     """Prompt tokens per step and concurrent answers of a role."""
 
     chunk_tokens: int
@@ -32,9 +32,9 @@
 # in the batch: 366 ms between tokens at 2,048, 46 ms at 128.
 PROFILES: Final = MappingProxyType(
     {
-        'prefill': Profile(2048, 8),
-        'mixed': Profile(512, 32),
-        'decode': Profile(128, 64),
+        'prefill': RoleProfile(2048, 8),
+        'mixed': RoleProfile(512, 32),
+        'decode': RoleProfile(128, 64),
     }
 )
 # Reported role during a role change.
@@ -47,7 +47,7 @@
 
 
 def prefill_rate(role: str, running: int) -> float:
-    """Return the prefill rate with ``running`` answers in the batch, in tokens/s."""
+    """Return the prefill rate with ``running_simulation`` answers in the batch, in tokens/s."""
     chunk = PROFILES[role].chunk_tokens if role in PROFILES else 0
     return chunk / step_s(chunk, running)
 
@@ -57,7 +57,7 @@
     return ''.join(f'{seed % 997:03d}.{number} ' for number in range(start, start + count))
 
 
-def seed_of(prompt: bytes) -> int:
+def answer_seed(prompt: bytes) -> int:
     """Return the seed of the answer to ``prompt``."""
     return zlib.crc32(prompt)
 
@@ -69,8 +69,8 @@
     'PROFILES',
     'REPORT_LAG_S',
     'ROLE_CHANGE_S',
+    'answer_seed',
     'answer_text',
     'prefill_rate',
-    'seed_of',
     'step_s',
 )
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
@@ -9,7 +9,7 @@
 from sesamepoint_core.errors import UpstreamError
 from sesamepoint.upstream.base import OrderRefusedError, UnreachableError, UpstreamLoad
 from sesamepoint_standins.engine import Engine, EngineRefusedError, EngineRequest
-from sesamepoint_standins.engine_model import seed_of
+from sesamepoint_standins.engine_model import answer_seed
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -21,13 +21,13 @@
     """Adapter from an :class:`Engine` to the agent's upstream interface."""
 
     def __init__(self, engine: Engine) -> None:
-        """Wrap ``engine``, reachable at first."""
+        """Wrap ``plan``, reachable at first."""
         self.engine = engine
         self.reachable = True
 
     async def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
         """Run a completion and yield its text."""
-        await self._enter()
+        await self._check_reachable()
         req = EngineRequest(
             attempt,
             job.prompt_tokens,
@@ -35,7 +35,7 @@
             int(job.urgent),
             job.prefix,
             job.prefix_tokens,
-            seed_of(job.body),
+            answer_seed(job.body),
         )
         received = 0
         with self.engine.submit(req) as pieces:
@@ -47,12 +47,12 @@
 
     async def cancel(self, attempt: str) -> None:
         """Cancel the completion if it runs."""
-        await self._enter()
+        await self._check_reachable()
         self.engine.cancel(attempt)
 
     async def load(self) -> UpstreamLoad:
         """Return the engine's load report."""
-        await self._enter()
+        await self._check_reachable()
         return self.engine.load()
 
     async def order(self, role: str, fence: int) -> None:
@@ -63,13 +63,13 @@
         OrderRefusedError
             If the engine refuses the order.
         """
-        await self._enter()
+        await self._check_reachable()
         try:
             self.engine.order(role, fence)
         except EngineRefusedError as exc:
             raise OrderRefusedError(str(exc)) from exc
 
-    async def _enter(self) -> None:
+    async def _check_reachable(self) -> None:
         await trio.lowlevel.checkpoint()
         if not self.reachable:
             raise UnreachableError('down')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_link.py
@@ -24,15 +24,15 @@
         SyncReply,
         SyncRequest,
     )
-    from sesamepoint_standins.gate import Gate
+    from sesamepoint_standins.process_faults import ProcessFaults
 
 CALL_TIMEOUT_S = 1.0
 
 
-class Wire:
+class NetworkPath:
     """Network between one entry and one agent.
 
-    ``cut`` drops all traffic. ``muted`` is the number of the last connection
+    ``cut`` drops all traffic. ``last_dead_connection`` is the number of the last connection
     whose traffic is dropped; later connections work.
     """
 
@@ -40,48 +40,54 @@
         """Start without faults, with a one-way delay of ``delay_s`` seconds."""
         self.delay_s = delay_s
         self.cut = False
-        self.muted = -1
-        self.opened = 0
+        self.last_dead_connection = -1
+        self.connections_opened = 0
 
-    def mute(self) -> None:
+    def kill_open_connections(self) -> None:
         """Drop all further traffic of the connections opened so far."""
-        self.muted = self.opened
+        self.last_dead_connection = self.connections_opened
 
-    def passes(self, connection: int) -> bool:
+    def delivers(self, connection: int) -> bool:
         """Return whether traffic of a connection is delivered."""
-        return not self.cut and connection > self.muted
+        return not self.cut and connection > self.last_dead_connection
 
 
-Timed = tuple[float, Frame]
+TimedFrame = tuple[float, Frame]
 
 
-class Host(NamedTuple):
+class AgentEndpoint(NamedTuple):
     """Agent process that currently serves an address."""
 
     handler: AgentHandler
-    gate: Gate
+    faults: ProcessFaults
     nursery: trio.Nursery
 
 
 class MemoryLink:
     """Entry's side of a link to the agent that serves an address."""
 
-    def __init__(self, address: str, wire: Wire, find: Callable[[], Host | None], own_gate: Gate) -> None:
+    def __init__(
+        self,
+        address: str,
+        network_path: NetworkPath,
+        find_endpoint: Callable[[], AgentEndpoint | None],
+        own_faults: ProcessFaults,
+    ) -> None:
         """Connect to the agent that the finder returns; None refuses the connection."""
         self._address = address
-        self._wire = wire
-        self._find = find
-        self._own_gate = own_gate
-        self.generation = wire.opened
-        self._open: list[trio.MemorySendChannel[Timed]] = []
+        self._network_path = network_path
+        self._find_endpoint = find_endpoint
+        self._own_faults = own_faults
+        self.generation = network_path.connections_opened
+        self._open_streams: list[trio.MemorySendChannel[TimedFrame]] = []
 
     def renew(self, generation: int) -> None:
         """Replace the connection ``generation``; its streams break."""
         if generation != self.generation:
             return
-        self._wire.opened += 1
-        self.generation = self._wire.opened
-        for sender in self._open:
+        self._network_path.connections_opened += 1
+        self.generation = self._network_path.connections_opened
+        for sender in self._open_streams:
             sender.close()
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
@@ -113,85 +119,85 @@
     async def run(self, req: RunRequest) -> AsyncIterator[AsyncIterator[Frame]]:
         """Open the stream of an attempt's frames."""
         scope = trio.CancelScope()
-        sender, receiver = trio.open_memory_channel[Timed](float('inf'))
+        sender, receiver = trio.open_memory_channel[TimedFrame](float('inf'))
         # Kept open until the connection is renewed: a silent connection does
         # not end, it only delivers nothing more.
-        self._open.append(sender)
+        self._open_streams.append(sender)
         try:
-            yield self._frames(req, sender, receiver, scope)
+            yield self._receive_frames(req, sender, receiver, scope)
         finally:
             scope.cancel()
-            self._open.remove(sender)
+            self._open_streams.remove(sender)
 
-    async def _call(self, ask: Callable[[Host], Awaitable[Any]]) -> Any:
+    async def _call(self, send: Callable[[AgentEndpoint], Awaitable[Any]]) -> Any:
         connection = self.generation
-        await self._own_gate.enter()
+        await self._own_faults.wait_while_paused()
         with trio.move_on_after(CALL_TIMEOUT_S):
-            await self._travel(connection, 2)
-            endpoint = self._host()
-            await endpoint.gate.enter()
-            reply = await ask(endpoint)
-            await endpoint.gate.enter()
-            await self._own_gate.enter()
-            if self._wire.passes(connection):
+            await self._delay(connection, 2)
+            endpoint = self._endpoint()
+            await endpoint.faults.wait_while_paused()
+            reply = await send(endpoint)
+            await endpoint.faults.wait_while_paused()
+            await self._own_faults.wait_while_paused()
+            if self._network_path.delivers(connection):
                 return reply
             await trio.sleep_forever()
         raise LinkLostError(self._address, 'timeout')
 
-    async def _travel(self, connection: int, ways: int = 1) -> None:
-        await trio.sleep(self._wire.delay_s * ways)
-        if not self._wire.passes(connection):
+    async def _delay(self, connection: int, trips: int = 1) -> None:
+        await trio.sleep(self._network_path.delay_s * trips)
+        if not self._network_path.delivers(connection):
             await trio.sleep_forever()
 
-    def _host(self) -> Host:
-        endpoint = self._find()
+    def _endpoint(self) -> AgentEndpoint:
+        endpoint = self._find_endpoint()
         if endpoint is None:
             raise LinkLostError(self._address, 'refused')
         return endpoint
 
-    async def _frames(
+    async def _receive_frames(
         self,
         req: RunRequest,
-        sender: trio.MemorySendChannel[Timed],
-        receiver: trio.MemoryReceiveChannel[Timed],
+        sender: trio.MemorySendChannel[TimedFrame],
+        receiver: trio.MemoryReceiveChannel[TimedFrame],
         scope: trio.CancelScope,
     ) -> AsyncIterator[Frame]:
         connection = self.generation
-        await self._own_gate.enter()
-        await trio.sleep(self._wire.delay_s)
-        if self._wire.passes(connection):
-            endpoint = self._host()
+        await self._own_faults.wait_while_paused()
+        await trio.sleep(self._network_path.delay_s)
+        if self._network_path.delivers(connection):
+            endpoint = self._endpoint()
             endpoint.nursery.start_soon(_serve_run, endpoint, req, sender, scope)
         async for sent_at, frame in receiver:
-            remaining_s = sent_at + self._wire.delay_s - trio.current_time()
+            remaining_s = sent_at + self._network_path.delay_s - trio.current_time()
             if remaining_s > 0:
                 await trio.sleep(remaining_s)
-            await self._own_gate.enter()
-            if self._wire.passes(connection):
+            await self._own_faults.wait_while_paused()
+            if self._network_path.delivers(connection):
                 yield frame
         raise LinkLostError(self._address, 'reset')
 
 
 async def _serve_run(
-    host: Host,
+    endpoint: AgentEndpoint,
     req: RunRequest,
-    sender: trio.MemorySendChannel[Timed],
+    sender: trio.MemorySendChannel[TimedFrame],
     scope: trio.CancelScope,
 ) -> None:
     """Run the handler; called in the agent's nursery, so that it ends with the agent."""
     with scope:
         try:
-            await _answer(host, req, sender)
+            await _run_handler(endpoint, req, sender)
         except trio.Cancelled:
             sender.close()
             raise
 
 
-async def _answer(host: Host, req: RunRequest, sender: trio.MemorySendChannel[Timed]) -> None:
-    await host.gate.enter()
+async def _run_handler(endpoint: AgentEndpoint, req: RunRequest, sender: trio.MemorySendChannel[TimedFrame]) -> None:
+    await endpoint.faults.wait_while_paused()
     # The entry has closed its end of the stream.
     with suppress(trio.ClosedResourceError, trio.BrokenResourceError):
-        await host.handler.run(req, lambda frame: sender.send_nowait((trio.current_time(), frame)))
+        await endpoint.handler.run(req, lambda frame: sender.send_nowait((trio.current_time(), frame)))
 
 
-__all__ = ('Host', 'MemoryLink', 'Wire')
+__all__ = ('AgentEndpoint', 'MemoryLink', 'NetworkPath')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/log.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_platform.py
@@ -8,11 +8,11 @@
 
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint.control.signal import Signal
-from sesamepoint.platform.messages import Instance, LogPage, LogRecord
+from sesamepoint.platform.service_interfaces import Instance, LogPage, LogRecord
 
-PAGE_RECORDS = 1000
+MAX_PAGE_RECORDS = 1000
 # Appends a second over all streams.
-APPEND_LIMIT = 300
+MAX_APPENDS_PER_S = 300
 APPEND_S = 0.002
 
 
@@ -22,11 +22,11 @@
     def __init__(self) -> None:
         """Start without faults."""
         # All calls fail.
-        self.away = False
+        self.unavailable = False
         # Number of appends that take effect but report an error.
-        self.lose_replies = 0
+        self.replies_to_lose = 0
         # Delay added to each call, in seconds.
-        self.slow_s: float = 0
+        self.extra_delay_s: float = 0
 
 
 class MemoryLog:
@@ -40,15 +40,15 @@
         Appends a second over all streams; further appends fail.
     """
 
-    def __init__(self, append_s: float = APPEND_S, append_limit: int = APPEND_LIMIT) -> None:
+    def __init__(self, append_s: float = APPEND_S, append_limit: int = MAX_APPENDS_PER_S) -> None:
         """Start with empty streams."""
         self.faults = LogFaults()
         self.appends = 0
         self._streams: dict[str, _Stream] = {}
         self._append_s = append_s
         self._append_limit = append_limit
-        self._second = 0
-        self._in_second = 0
+        self._current_second = 0
+        self._appends_in_second = 0
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Append a record and return its offset.
@@ -59,39 +59,39 @@
             During an outage, beyond the append limit, or if the reply is lost;
             in the last case the record is stored.
         """
-        await self._enter(self._append_s)
+        await self._simulate_call(self._append_s)
         self._count_append()
         stored = self._stream(stream)
         offset = stored.append(payload)
-        if self.faults.lose_replies > 0:
-            self.faults.lose_replies -= 1
+        if self.faults.replies_to_lose > 0:
+            self.faults.replies_to_lose -= 1
             raise PlatformUnavailableError('log', 'reply lost')
         return offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return records from ``start`` on; wait at most ``wait_s`` for the first."""
-        await self._enter(0)
+        """Return records from ``incarnation`` on; wait at most ``wait_s`` for the first."""
+        await self._simulate_call(0)
         stored = self._stream(stream)
         if stored.end <= start and wait_s > 0:
-            await stored.grown.wait_at_most(wait_s)
-            await self._enter(0)
+            await stored.appended.wait_at_most(wait_s)
+            await self._simulate_call(0)
         return stored.page(start)
 
     def trim(self, stream: str, before: int) -> None:
         """Drop the records of ``stream`` before an offset."""
         self._stream(stream).trim(before)
 
-    async def _enter(self, seconds: float) -> None:
-        await trio.sleep(seconds + self.faults.slow_s)
-        if self.faults.away:
+    async def _simulate_call(self, seconds: float) -> None:
+        await trio.sleep(seconds + self.faults.extra_delay_s)
+        if self.faults.unavailable:
             raise PlatformUnavailableError('log', 'outage')
 
     def _count_append(self) -> None:
         self.appends += 1
         second = int(trio.current_time())
-        self._in_second = self._in_second + 1 if second == self._second else 1
-        self._second = second
-        if self._in_second > self._append_limit:
+        self._appends_in_second = self._appends_in_second + 1 if second == self._current_second else 1
+        self._current_second = second
+        if self._appends_in_second > self._append_limit:
             raise PlatformUnavailableError('log', 'append limit exceeded')
 
     def _stream(self, name: str) -> _Stream:
@@ -102,7 +102,7 @@
     """Records of one stream and the offset of the first one that is kept."""
 
     def __init__(self) -> None:
-        self.grown = Signal()
+        self.appended = Signal()
         self._records: list[bytes] = []
         self._earliest = 0
 
@@ -114,13 +114,13 @@
     def append(self, payload: bytes) -> int:
         """Add a record."""
         self._records.append(payload)
-        self.grown.set_off()
+        self.appended.set_off()
         return self.end - 1
 
     def page(self, start: int) -> LogPage:
-        """Return the records from ``start`` on."""
+        """Return the records from ``incarnation`` on."""
         first = max(start - self._earliest, 0)
-        payloads = self._records[first : first + PAGE_RECORDS]
+        payloads = self._records[first : first + MAX_PAGE_RECORDS]
         offsets = range(self._earliest + first, self.end)
         records = tuple(LogRecord(offset, payload) for offset, payload in zip(offsets, payloads, strict=False))
         return LogPage(records, self._earliest, self.end)
@@ -132,11 +132,11 @@
         self._earliest += dropped
 
 
-class Listed(NamedTuple):
+class InstanceRow(NamedTuple):
     """Row of the list of instances, and when it changed."""
 
-    leaving: bool
-    since: float
+    draining: bool
+    changed_at: float
 
 
 class MemoryInstances:
@@ -144,22 +144,22 @@
 
     def __init__(self, lag_s: float = 2.0) -> None:
         """Start empty."""
-        self.away = False
+        self.unavailable = False
         self._lag_s = lag_s
-        self._rows: dict[str, Listed] = {}
+        self._rows: dict[str, InstanceRow] = {}
 
-    def put(self, address: str, *, leaving: bool) -> None:
+    def put(self, address: str, *, draining: bool) -> None:
         """Add or change the row of an instance."""
-        self._rows[address] = Listed(leaving, trio.current_time())
+        self._rows[address] = InstanceRow(draining, trio.current_time())
 
     async def fetch(self) -> tuple[Instance, ...]:
         """Return the rows that changed at least ``lag_s`` seconds ago."""
         await trio.lowlevel.checkpoint()
-        if self.away:
+        if self.unavailable:
             raise PlatformUnavailableError('instance list', 'outage')
         horizon = trio.current_time() - self._lag_s
         rows = self._rows.items()
-        return tuple(Instance(address, row.leaving) for address, row in rows if row.since <= horizon)
+        return tuple(Instance(address, row.draining) for address, row in rows if row.changed_at <= horizon)
 
 
 __all__ = ('LogFaults', 'MemoryInstances', 'MemoryLog')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/bed.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/bench.py
@@ -12,7 +12,7 @@
 from sesamepoint_core.serving.address import Address
 from sesamepoint.front.front import Front
 from sesamepoint.front.settings import DutySettings, FrontSettings, StoreSettings
-from sesamepoint.platform.names import OPERATOR_KEY, OPERATOR_TOPIC, RUNNER_TOPIC
+from sesamepoint.platform.wire_names import OPERATOR_KEY, OPERATOR_TOPIC, RUNNER_TOPIC
 from sesamepoint.supervisor import Supervisor
 from sesamepoint_standins.platform.caller import Caller
 from sesamepoint_standins.platform.network import MemoryNetwork
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Sequence
 
-STORE = Address('10.9.0.1', 8100)
-USAGE = Address('10.9.0.2', 8100)
-DUTY = DutySettings(USAGE, window_s=5, late_s=10, turns_s=3)
+STORE_ADDRESS = Address('10.9.0.1', 8100)
+USAGE_ADDRESS = Address('10.9.0.2', 8100)
+DUTY_SETTINGS = DutySettings(USAGE_ADDRESS, window_s=5, report_delay_s=10, lease_s=3)
 FRONT_PORT = 8000
-READY_S = 5.0
+READY_TIMEOUT_S = 5.0
 # A crashed runner restarts after this time as a new incarnation. Its registration
 # stays until then.
-BACK_S = 3.0
+RESTART_DELAY_S = 3.0
 # Time from the first token of a poison request to the crash of its runner.
-ENDS_AFTER_S = 0.1
+CRASH_DELAY_S = 0.1
 
 
 def front_settings(number: int, duty: DutySettings | None = None) -> FrontSettings:
@@ -52,19 +52,19 @@
         retry_reserve=50.0,
         retry_window_s=10.0,
         link_bytes_s=125e6,
-        store=StoreSettings(STORE),
+        store=StoreSettings(STORE_ADDRESS),
         duty=duty,
     )
 
 
-class End(NamedTuple):
+class RunnerCrash(NamedTuple):
     """Crash of a runner, and when it happened on trio's clock."""
 
     runner: str
     at: float
 
 
-class PlatformBed:
+class PlatformBench:
     """Processes and stand-ins of one deployment, with methods that cause faults."""
 
     def __init__(self, nursery: trio.Nursery, seed: int = 1, duty: DutySettings | None = None) -> None:
@@ -76,13 +76,13 @@
         self.store = PlatformStore()
         self.runners: dict[str, RunnerStandIn] = {}
         self.fronts: dict[str, Front] = {}
-        self.ended: list[End] = []
-        self._by_address: dict[str, RunnerStandIn] = {}
+        self.crashes: list[RunnerCrash] = []
+        self._runners_by_address: dict[str, RunnerStandIn] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self._nursery = nursery
         self._rng = Random(seed)
-        self.network.listen(STORE, self.store.serve)
-        self.network.listen(USAGE, self.usage.serve)
+        self.network.listen(STORE_ADDRESS, self.store.serve)
+        self.network.listen(USAGE_ADDRESS, self.usage.serve)
 
     def publish(self, document: object) -> None:
         """Write a configuration to the store, as the operator does."""
@@ -91,25 +91,25 @@
     def add_runner(self, runner: RunnerStandIn) -> None:
         """Start a runner and register it."""
         self.runners[runner.key] = runner
-        self._by_address[str(runner.address)] = runner
-        runner.others = self._by_address
-        runner.on_end = self._end_soon
+        self._runners_by_address[str(runner.address)] = runner
+        runner.engines_by_address = self._runners_by_address
+        runner.on_crash = self._schedule_crash
         self.network.listen(runner.address, runner.serve)
-        self.store.put(RUNNER_TOPIC, runner.key, runner.record)
+        self.store.put(RUNNER_TOPIC, runner.key, runner.registration)
 
-    def end_runner(self, runner: RunnerStandIn) -> None:
+    def crash_runner(self, runner: RunnerStandIn) -> None:
         """Crash a runner with all its requests; it restarts as a new incarnation."""
-        if any(end.runner == runner.key for end in self.ended):
+        if any(end.runner == runner.key for end in self.crashes):
             return
-        self.ended.append(End(runner.key, trio.current_time()))
+        self.crashes.append(RunnerCrash(runner.key, trio.current_time()))
         self.network.close(runner.address)
         self.network.reset_all(runner.address.host)
-        self._nursery.start_soon(self._bring_back, runner)
+        self._nursery.start_soon(self._restart_runner, runner)
 
     def drain_runner(self, key: str) -> None:
         """Register a runner as draining; it continues to serve."""
-        self.runners[key].leaving = True
-        self.store.put(RUNNER_TOPIC, key, self.runners[key].record)
+        self.runners[key].draining = True
+        self.store.put(RUNNER_TOPIC, key, self.runners[key].registration)
 
     def drop_registration(self, key: str) -> None:
         """Remove a runner's registration; it continues to serve."""
@@ -118,11 +118,11 @@
     def add_front(self, number: int) -> Front:
         """Start a front."""
         cfg = front_settings(number, self._duty)
-        network = self.network.seen_from(cfg.host)
+        network = self.network.for_host(cfg.host)
         clock = self.clocks.setdefault(cfg.name, VirtualClock())
         front = Front(cfg, network, network, Random(self._rng.random()), clock)
         self.fronts[cfg.name] = front
-        self.network.listen(cfg.listen, front.door.serve)
+        self.network.listen(cfg.listen, front.http_handler.serve)
         self.network.listen(cfg.peer_listen, front.peer_pages.serve)
         self._nursery.start_soon(self._run_front, front)
         return front
@@ -133,25 +133,25 @@
         self.network.close(self.fronts[name].cfg.listen)
         self.network.close(self.fronts[name].cfg.peer_listen)
 
-    def caller(self, front: str, host: str = '10.2.0.1') -> Caller:
+    def new_caller(self, front: str, host: str = '10.2.0.1') -> Caller:
         """Return a new caller of the front with this name."""
-        return Caller(self.network.seen_from(host), self.fronts[front].cfg.listen)
+        return Caller(self.network.for_host(host), self.fronts[front].cfg.listen)
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until all fronts are ready."""
-        with trio.fail_after(READY_S):
+        with trio.fail_after(READY_TIMEOUT_S):
             while not all(front.ready() for front in self.fronts.values()):
                 await trio.sleep(0.01)
 
-    def _end_soon(self, runner: RunnerStandIn) -> None:
-        self._nursery.start_soon(self._end_later, runner)
+    def _schedule_crash(self, runner: RunnerStandIn) -> None:
+        self._nursery.start_soon(self._crash_after_delay, runner)
 
-    async def _end_later(self, runner: RunnerStandIn) -> None:
-        await trio.sleep(ENDS_AFTER_S)
-        self.end_runner(runner)
+    async def _crash_after_delay(self, runner: RunnerStandIn) -> None:
+        await trio.sleep(CRASH_DELAY_S)
+        self.crash_runner(runner)
 
-    async def _bring_back(self, runner: RunnerStandIn) -> None:
-        await trio.sleep(BACK_S)
+    async def _restart_runner(self, runner: RunnerStandIn) -> None:
+        await trio.sleep(RESTART_DELAY_S)
         self.drop_registration(runner.key)
         self.add_runner(replace(runner, key=f'{runner.key}+', runs=[]))
 
@@ -162,23 +162,23 @@
 
 
 @asynccontextmanager
-async def running_bed(
+async def open_bench(
     configuration: object,
     runners: Sequence[RunnerStandIn],
     fronts: int = 1,
     duty: DutySettings | None = None,
-) -> AsyncIterator[PlatformBed]:
+) -> AsyncIterator[PlatformBench]:
     """Run a bench with a deployment and wait until all fronts are ready."""
     async with trio.open_nursery() as nursery:
-        bed = PlatformBed(nursery, duty=duty)
+        bed = PlatformBench(nursery, duty=duty)
         bed.publish(configuration)
         for runner in runners:
             bed.add_runner(runner)
         for number in range(1, fronts + 1):
             bed.add_front(number)
-        await bed.until_ready()
+        await bed.wait_until_ready()
         yield bed
         nursery.cancel_scope.cancel()
 
 
-__all__ = ('DUTY', 'PlatformBed', 'front_settings', 'running_bed')
+__all__ = ('DUTY_SETTINGS', 'PlatformBench', 'front_settings', 'open_bench')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
@@ -14,7 +14,7 @@
     from sesamepoint_core.serving.address import Address
 
 CHUNK_BYTES = 65536
-BROKEN = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 # Makes close() discard unsent bytes and send a reset.
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
@@ -22,14 +22,14 @@
 class Fault(enum.Enum):
     """Fault that the proxy applies to its connections.
 
-    ``silence`` drops the bytes of both directions, ``lose_answers`` those from
+    ``drop_all`` drops the bytes of both directions, ``drop_answers`` those from
     the target only.
     """
 
     none = 'none'
     delay = 'delay'
-    silence = 'silence'
-    lose_answers = 'lose answers'
+    drop_all = 'silence'
+    drop_answers = 'lose answers'
 
 
 class FaultyProxy:
@@ -40,11 +40,11 @@
     """
 
     def __init__(self, target: Address) -> None:
-        """Forward to ``target``, without a fault at first."""
+        """Forward to ``owner``, without a fault at first."""
         self.fault = Fault.none
         self.delay_s: float = 0
         self._target = target
-        self._open: set[trio.SocketStream] = set()
+        self._open_streams: set[trio.SocketStream] = set()
 
     async def serve(self, caller: trio.SocketStream) -> None:
         """Forward one connection."""
@@ -54,34 +54,34 @@
             reset(caller)
             return
         both = (caller, upstream)
-        self._open.update(both)
+        self._open_streams.update(both)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, caller, upstream, Fault.silence, nursery.cancel_scope)
-                nursery.start_soon(self._pump, upstream, caller, Fault.lose_answers, nursery.cancel_scope)
+                nursery.start_soon(self._forward, caller, upstream, Fault.drop_all, nursery.cancel_scope)
+                nursery.start_soon(self._forward, upstream, caller, Fault.drop_answers, nursery.cancel_scope)
         finally:
-            self._open.difference_update(both)
+            self._open_streams.difference_update(both)
             for stream in both:
                 stream.socket.close()
 
     def reset_all(self) -> None:
         """Reset all open connections."""
-        for stream in tuple(self._open):
+        for stream in tuple(self._open_streams):
             reset(stream)
 
-    async def _pump(
-        self, source: trio.SocketStream, sink: trio.SocketStream, cut: Fault, scope: trio.CancelScope
+    async def _forward(
+        self, source: trio.SocketStream, sink: trio.SocketStream, dropping_fault: Fault, scope: trio.CancelScope
     ) -> None:
         dropping = False
         try:
             while chunk := await source.receive_some(CHUNK_BYTES):
-                dropping = dropping or self.fault in {Fault.silence, cut}
+                dropping = dropping or self.fault in {Fault.drop_all, dropping_fault}
                 if dropping:
                     continue
                 if self.fault is Fault.delay:
                     await trio.sleep(self.delay_s)
                 await sink.send_all(chunk)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             reset(sink)
         scope.cancel()
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
@@ -10,29 +10,29 @@
 
 # The bound holds in any window of this length: the number of requests that the
 # limit allows, times a factor, plus a constant.
-SPAN_S = 4.0
-SHARE = 1.5
-MORE = 5
+WINDOW_S = 4.0
+RATE_FACTOR = 1.5
+EXTRA_REQUESTS = 5
 # Requests are not counted for this time after an instance could first know a limit.
-KNOWN_S = 3.0
+LIMIT_KNOWN_S = 3.0
 
 
-class Span(NamedTuple):
+class RequestWindow(NamedTuple):
     """Number of requests in the window that ends at one of them, in seconds."""
 
-    until: float
+    window_end: float
     requests: int
 
 
-def bound(limit: float) -> float:
+def max_requests(limit: float) -> float:
     """Return the maximum number of requests in a window, for a limit in requests/s."""
-    return SHARE * SPAN_S * limit + MORE
+    return RATE_FACTOR * WINDOW_S * limit + EXTRA_REQUESTS
 
 
-def spans(times: Sequence[float]) -> Iterator[Span]:
-    """Yield the window that ends at each of ``times``, which are sorted."""
+def request_windows(times: Sequence[float]) -> Iterator[RequestWindow]:
+    """Yield the window that ends at each of ``requests``, which are sorted."""
     for number, until in enumerate(times, start=1):
-        yield Span(until, number - bisect_right(times, until - SPAN_S))
+        yield RequestWindow(until, number - bisect_right(times, until - WINDOW_S))
 
 
-__all__ = ('KNOWN_S', 'SPAN_S', 'Span', 'bound', 'spans')
+__all__ = ('LIMIT_KNOWN_S', 'WINDOW_S', 'RequestWindow', 'max_requests', 'request_windows')
