--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/network.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/network.py
@@ -16,16 +16,16 @@
 
     Handler = Callable[['MemoryTransport'], Awaitable[None]]
 
-ONE_WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 # Capacity of a link's queue, as the time that the link needs to send it.
-FULL_S = 0.02
-KEPT_DATAGRAMS = 10_000
+MAX_QUEUE_S = 0.02
+MAX_RECORDED_DATAGRAMS = 10_000
 _END = None
 
 
 class _Packet(NamedTuple):
-    at: float
-    carried: bytes | None
+    arrives_at: float
+    payload: bytes | None
 
 
 class Pipe:
@@ -35,27 +35,27 @@
         """Start without packets."""
         self.reset = False
         self._packets: deque[_Packet] = deque()
-        self._news = trio.Event()
+        self._packet_added = trio.Event()
 
-    def put(self, carried: bytes | None, delay_s: float) -> None:
+    def put(self, payload: bytes | None, delay_s: float) -> None:
         """Queue a packet that arrives after ``delay_s``; None marks the end."""
-        self._packets.append(_Packet(trio.current_time() + delay_s, carried))
-        self._news.set()
+        self._packets.append(_Packet(trio.current_time() + delay_s, payload))
+        self._packet_added.set()
 
-    def arrived(self) -> bool:
+    def has_arrived(self) -> bool:
         """Return whether a packet or a reset has arrived."""
-        return self.reset or bool(self._packets and self._packets[0].at <= trio.current_time())
+        return self.reset or bool(self._packets and self._packets[0].arrives_at <= trio.current_time())
 
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Return whether the end has arrived with no bytes before it, or a reset."""
-        return self.reset or (self.arrived() and self._packets[0].carried is _END)
+        return self.reset or (self.has_arrived() and self._packets[0].payload is _END)
 
-    def break_off(self) -> None:
+    def break_connection(self) -> None:
         """Reset this direction of the connection."""
         self.reset = True
-        self._news.set()
+        self._packet_added.set()
 
-    async def take(self) -> bytes:
+    async def receive(self) -> bytes:
         """Return the next bytes, or empty bytes at the end.
 
         Raises
@@ -65,12 +65,12 @@
         """
         await trio.lowlevel.checkpoint()
         while not self._packets and not self.reset:
-            self._news = trio.Event()
-            await self._news.wait()
+            self._packet_added = trio.Event()
+            await self._packet_added.wait()
         if self.reset:
             raise trio.BrokenResourceError
-        await trio.sleep_until(self._packets[0].at)
-        carried = self._packets[0].carried
+        await trio.sleep_until(self._packets[0].arrives_at)
+        carried = self._packets[0].payload
         if carried is _END:
             return b''
         self._packets.popleft()
@@ -98,14 +98,14 @@
             raise trio.BrokenResourceError
         if sent:
             self._sending.put(
-                sent, self._network.delay_s(*self.hosts) + self._network.queue_s(self.hosts[0], len(sent))
+                sent, self._network.delay_s(*self.hosts) + self._network.enqueue(self.hosts[0], len(sent))
             )
 
     async def receive_some(self, max_bytes: int) -> bytes:
         """Return some bytes, or empty bytes at the end."""
         if self._closed:
             raise trio.ClosedResourceError
-        return await self._receiving.take()
+        return await self._receiving.receive()
 
     def close(self) -> None:
         """Close this endpoint."""
@@ -115,20 +115,20 @@
 
     def reset(self) -> None:
         """Reset the connection for both endpoints."""
-        self._sending.break_off()
-        self._receiving.break_off()
+        self._sending.break_connection()
+        self._receiving.break_connection()
 
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether this endpoint is closed or the connection was reset."""
         return self._closed or self._sending.reset
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the connection is open and has no bytes to read."""
-        return not self._closed and not self._receiving.arrived()
+        return not self._closed and not self._receiving.has_arrived()
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Return whether the connection is closed and has no bytes to read."""
-        return self._closed or self._receiving.ended()
+        return self._closed or self._receiving.has_ended()
 
 
 class MemoryNetwork:
@@ -136,19 +136,19 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         """Run the handlers of connections in ``nursery``."""
-        self.cut: set[frozenset[str]] = set()
-        self.datagrams_lost = False
+        self.cut_pairs: set[frozenset[str]] = set()
+        self.drops_datagrams = False
         # Time to establish a connection, in seconds.
-        self.connect_s = 2 * ONE_WAY_S
+        self.connect_delay_s = 2 * ONE_WAY_DELAY_S
         # The newest datagrams, for tests of the messages between peers.
-        self.datagrams: deque[bytes] = deque(maxlen=KEPT_DATAGRAMS)
+        self.recent_datagrams: deque[bytes] = deque(maxlen=MAX_RECORDED_DATAGRAMS)
         # Bandwidth of the links of some hosts, in bytes/s; other links are unlimited.
-        self.links: dict[str, float] = {}
-        self._busy_until: dict[str, float] = {}
+        self.link_rates: dict[str, float] = {}
+        self._link_busy_until: dict[str, float] = {}
         self._nursery = nursery
         self._listeners: dict[Address, Handler] = {}
         self._receivers: dict[Address, Callable[[bytes], None]] = {}
-        self._open: list[MemoryTransport] = []
+        self._open_transports: list[MemoryTransport] = []
 
     def listen(self, address: Address, handler: Handler) -> None:
         """Start ``handler`` for each connection to ``address``."""
@@ -158,32 +158,32 @@
         """Stop listening at ``address``."""
         self._listeners.pop(address, None)
 
-    def reset_all(self, host: str, far: str = '') -> None:
-        """Reset all connections of ``host`` whose peer's address starts with ``far``."""
-        for transport in self._open:
+    def reset_all(self, host: str, peer_prefix: str = '') -> None:
+        """Reset all connections of ``host`` whose peer's address starts with ``peer_prefix``."""
+        for transport in self._open_transports:
             hosts = transport.hosts
             other = hosts[1] if hosts[0] == host else hosts[0]
-            if host in hosts and other.startswith(far):
+            if host in hosts and other.startswith(peer_prefix):
                 transport.reset()
 
     def delay_s(self, source: str, target: str) -> float:
         """Return the delay of a packet in seconds, infinite between hosts that are cut off."""
-        return math.inf if frozenset((source, target)) in self.cut else ONE_WAY_S
+        return math.inf if frozenset((source, target)) in self.cut_pairs else ONE_WAY_DELAY_S
 
-    def queue_s(self, host: str, size: int) -> float:
+    def enqueue(self, host: str, size: int) -> float:
         """Queue ``size`` bytes on a host's link; return the time until they are sent, in seconds."""
-        rate = self.links.get(host)
+        rate = self.link_rates.get(host)
         if rate is None:
             return 0
         now = trio.current_time()
-        self._busy_until[host] = max(self._busy_until.get(host, 0), now) + size / rate
-        return self._busy_until[host] - now
+        self._link_busy_until[host] = max(self._link_busy_until.get(host, 0), now) + size / rate
+        return self._link_busy_until[host] - now
 
-    def link_full(self, host: str) -> bool:
+    def is_link_full(self, host: str) -> bool:
         """Return whether the queue of a host's link is full for datagrams."""
-        return self._busy_until.get(host, 0) - trio.current_time() > FULL_S
+        return self._link_busy_until.get(host, 0) - trio.current_time() > MAX_QUEUE_S
 
-    def seen_from(self, host: str) -> HostNetwork:
+    def for_host(self, host: str) -> HostNetwork:
         """Return the network interface of ``host``."""
         return HostNetwork(self, host)
 
@@ -193,20 +193,20 @@
         if math.isinf(self.delay_s(host, address.host)):
             await trio.sleep(timeout_s)
             raise ConnectFailedError(str(address), 'timed out')
-        await trio.sleep(self.connect_s)
+        await trio.sleep(self.connect_delay_s)
         if handler is None:
             raise ConnectFailedError(str(address), 'refused', refused=True)
         to_server, to_client = Pipe(), Pipe()
         server = MemoryTransport(self, (address.host, host), (to_client, to_server))
         self._nursery.start_soon(handler, server)
         client = MemoryTransport(self, (host, address.host), (to_server, to_client))
-        self._open = [transport for transport in self._open if not transport.over()]
-        self._open.append(client)
+        self._open_transports = [transport for transport in self._open_transports if not transport.is_closed()]
+        self._open_transports.append(client)
         return client
 
-    async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Call ``take`` with each datagram received at ``address``, until cancelled."""
-        self._receivers[address] = take
+    async def receive(self, address: Address, on_datagram: Callable[[bytes], None]) -> None:
+        """Call ``on_datagram`` with each datagram received at ``address``, until cancelled."""
+        self._receivers[address] = on_datagram
         try:
             await trio.sleep_forever()
         finally:
@@ -215,11 +215,11 @@
     def send_datagram(self, host: str, datagram: bytes, address: Address) -> None:
         """Deliver ``datagram`` after the delay, unless a fault or a full queue drops it."""
         receiver = self._receivers.get(address)
-        if self.link_full(host):
+        if self.is_link_full(host):
             return
-        self.datagrams.append(datagram)
-        self.queue_s(host, len(datagram))
-        if receiver is not None and not self.datagrams_lost and not math.isinf(self.delay_s(host, address.host)):
+        self.recent_datagrams.append(datagram)
+        self.enqueue(host, len(datagram))
+        if receiver is not None and not self.drops_datagrams and not math.isinf(self.delay_s(host, address.host)):
             self._nursery.start_soon(_deliver, receiver, datagram)
 
 
@@ -235,9 +235,9 @@
         """Connect, or raise a ``ConnectFailedError``."""
         return await self._network.connect(self._host, Address(*address), timeout_s)
 
-    async def receive(self, address: Address, take: Callable[[bytes], None]) -> None:
-        """Call ``take`` with each datagram received at ``address``, until cancelled."""
-        await self._network.receive(address, take)
+    async def receive(self, address: Address, on_datagram: Callable[[bytes], None]) -> None:
+        """Call ``on_datagram`` with each datagram received at ``address``, until cancelled."""
+        await self._network.receive(address, on_datagram)
 
     async def send(self, datagram: bytes, address: Address) -> None:
         """Send one datagram."""
@@ -245,9 +245,9 @@
         self._network.send_datagram(self._host, datagram, address)
 
 
-async def _deliver(take: Callable[[bytes], None], datagram: bytes) -> None:
-    await trio.sleep(ONE_WAY_S)
-    take(datagram)
+async def _deliver(on_datagram: Callable[[bytes], None], datagram: bytes) -> None:
+    await trio.sleep(ONE_WAY_DELAY_S)
+    on_datagram(datagram)
 
 
-__all__ = ('ONE_WAY_S', 'HostNetwork', 'MemoryNetwork', 'MemoryTransport')
+__all__ = ('ONE_WAY_DELAY_S', 'HostNetwork', 'MemoryNetwork', 'MemoryTransport')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/processes.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/process_bench.py
@@ -15,7 +15,7 @@
 from sesamepoint.http1.client import ClientConn
 from sesamepoint.http1.messages import ConnBrokenError, ConnectFailedError, RequestHead
 from sesamepoint.http1.transport import SocketNetwork, SocketTransport
-from sesamepoint.platform.names import OPERATOR_KEY, OPERATOR_TOPIC, READY_PATH, RUNNER_TOPIC
+from sesamepoint.platform.wire_names import OPERATOR_KEY, OPERATOR_TOPIC, READY_PATH, RUNNER_TOPIC
 from sesamepoint_standins.platform.caller import Caller
 from sesamepoint_standins.platform.runner import EngineSpeed, RunnerStandIn
 from sesamepoint_standins.platform.store import PlatformStore
@@ -30,14 +30,14 @@
 
     Serve = Callable[[Transport], Awaitable[None]]
 
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 STATUS_OK = 200
 METRICS_PATH = '/metrics'
-POLL_S = 0.05
-CONNECT_S = 1.0
+POLL_INTERVAL_S = 0.05
+CONNECT_TIMEOUT_S = 1.0
 # Faster than any real engine, since these tests check the processes, not latency.
-QUICK = EngineSpeed(tokens_s=2_000_000, overhead_s=0.002, step_s=0.0002, step_slot_s=0)
-SETTINGS = """node={name}
+FAST_ENGINE = EngineSpeed(prefill_tokens_per_s=2_000_000, overhead_s=0.002, step_s=0.0002, step_s_per_slot=0)
+SETTINGS_TEMPLATE = """node={name}
 ip={host}
 zone=z1
 listen.front={listen}
@@ -60,12 +60,12 @@
 """
 
 
-class FrontStub(NamedTuple):
+class BenchFront(NamedTuple):
     """Front process and its addresses.
 
     Parameters
     ----------
-    log_from
+    log_offset
         Offset in the log, in characters, at which the output of this start begins.
     """
 
@@ -73,31 +73,31 @@
     listen: Address
     ready: Address
     settings: Path
-    log_from: int = 0
+    log_offset: int = 0
 
     @property
-    def log(self) -> Path:
+    def log_path(self) -> Path:
         """Return the path of its log."""
-        return log_of(self.settings)
+        return log_path_of(self.settings)
 
     def has_started(self) -> bool:
         """Return whether this start has logged its start event; from then on it handles signals."""
-        output = self.log.read_text(encoding='utf-8')[self.log_from :]
+        output = self.log_path.read_text(encoding='utf-8')[self.log_offset :]
         return f'"event": {events.PROCESS_STARTED.number}' in output
 
 
-class ProcessBed:
+class ProcessBench:
     """Test bench with the store and the runners in this process, and one process for each front."""
 
     def __init__(self, nursery: trio.Nursery, folder: Path) -> None:
         """Write settings to ``folder``; listeners run in ``nursery``."""
         self.store = PlatformStore()
         self.runners: list[RunnerStandIn] = []
-        self.fronts: list[FrontStub] = []
-        self.ended: list[str] = []
+        self.fronts: list[BenchFront] = []
+        self.crashed: list[str] = []
         self.nursery = nursery
         self._folder = folder
-        self._listening: dict[Address, trio.CancelScope] = {}
+        self._listener_scopes: dict[Address, trio.CancelScope] = {}
         self.usage = UsageStandIn()
         self._store_address: Address | None = None
         self._usage_address: Address | None = None
@@ -110,74 +110,74 @@
         for service, stage in (('web', None), ('web', None), ('llm', 'prefill'), ('llm', 'decode')):
             await self.add_runner(service, stage)
 
-    async def add_front(self) -> FrontStub:
+    async def add_front(self) -> BenchFront:
         """Start a front process and wait until it is ready."""
         name = f'front-{len(self.fronts) + 1}'
-        listen, ready_listen, settings = await self._settings(name, f'127.0.0.{len(self.fronts) + 2}')
+        listen, ready_listen, settings = await self._new_settings(name, f'127.0.0.{len(self.fronts) + 2}')
         path = self._folder / f'{name}.conf'
         path.write_text(settings, encoding='utf-8')
-        front = FrontStub(await _start(path), listen, ready_listen, path)
+        front = BenchFront(await _start_process(path), listen, ready_listen, path)
         self.fronts.append(front)
-        await self.until_ready(front)
+        await self.wait_until_ready(front)
         return front
 
-    async def restart_front(self, number: int) -> FrontStub:
-        """Restart the front at index ``number`` with its old settings."""
-        front = self.fronts[number]
-        log_from = len(front.log.read_text(encoding='utf-8'))
-        front = front._replace(process=await _start(front.settings), log_from=log_from)
-        self.fronts[number] = front
+    async def restart_front(self, index: int) -> BenchFront:
+        """Restart the front at index ``index`` with its old settings."""
+        front = self.fronts[index]
+        log_from = len(front.log_path.read_text(encoding='utf-8'))
+        front = front._replace(process=await _start_process(front.settings), log_offset=log_from)
+        self.fronts[index] = front
         return front
 
-    async def until_ready(self, front: FrontStub) -> None:
+    async def wait_until_ready(self, front: BenchFront) -> None:
         """Wait until ``front`` reports that it is ready."""
-        with trio.fail_after(START_S):
-            while not await ready(front):
-                await trio.sleep(POLL_S)
+        with trio.fail_after(START_TIMEOUT_S):
+            while not await is_ready(front):
+                await trio.sleep(POLL_INTERVAL_S)
 
-    async def until_all_show(self, metric: str) -> None:
+    async def wait_until_all_show(self, metric: str) -> None:
         """Wait until the metrics page of each front has the line ``metric``."""
-        with trio.fail_after(START_S):
-            while not all([await shows(front, metric) for front in self.fronts]):
-                await trio.sleep(POLL_S)
+        with trio.fail_after(START_TIMEOUT_S):
+            while not all([await has_metric_line(front, metric) for front in self.fronts]):
+                await trio.sleep(POLL_INTERVAL_S)
 
-    async def serve(self, serve: Serve) -> Address:
+    async def serve(self, connection_handler: Serve) -> Address:
         """Serve connections on a free loopback port; return its address."""
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
         address = Address(*listeners[0].socket.getsockname()[:2])
-        self.nursery.start_soon(self._listen, serve, listeners, address)
+        self.nursery.start_soon(self._listen, connection_handler, listeners, address)
         return address
 
     async def add_runner(self, service: str, stage: str | None = None) -> RunnerStandIn:
         """Start a runner and register it."""
         key = f'i-{len(self.runners)}'
         # The address is set once the runner listens.
-        runner = RunnerStandIn(key, service, Address('', 0), 'z1', stage=stage, speed=QUICK, work_s=0.005)
+        runner = RunnerStandIn(key, service, Address('', 0), 'z1', stage=stage, speed=FAST_ENGINE, work_s=0.005)
         runner.address = await self.serve(runner.serve)
-        runner.on_end = self.end_runner
+        runner.on_crash = self.crash_runner
         self.runners.append(runner)
-        self.store.put(RUNNER_TOPIC, key, runner.record)
+        self.store.put(RUNNER_TOPIC, key, runner.registration)
         return runner
 
-    def end_runner(self, runner: RunnerStandIn) -> None:
+    def crash_runner(self, runner: RunnerStandIn) -> None:
         """Crash a runner: its connections break, and new ones are refused."""
-        self.ended.append(runner.key)
-        self._listening[runner.address].cancel()
+        self.crashed.append(runner.key)
+        self._listener_scopes[runner.address].cancel()
 
-    def logs(self) -> list[Path]:
+    def log_paths(self) -> list[Path]:
         """Return the paths of the logs of all fronts."""
-        return [front.log for front in self.fronts]
+        return [front.log_path for front in self.fronts]
 
-    def end(self) -> None:
+    def kill_fronts(self) -> None:
         """Kill the front processes that still run."""
         for front in self.fronts:
             if front.process.poll() is None:
                 front.process.send_signal(signal.SIGKILL)
 
-    async def _settings(self, name: str, host: str) -> tuple[Address, Address, str]:
+    async def _new_settings(self, name: str, host: str) -> tuple[Address, Address, str]:
         listen = Address(host, await _free_port(host))
         ready_listen = Address(host, await _free_port(host))
-        settings = SETTINGS.format(
+        settings = SETTINGS_TEMPLATE.format(
             name=name,
             host=host,
             listen=listen,
@@ -191,63 +191,63 @@
 
     async def _listen(self, serve: Serve, listeners: list[trio.SocketListener], address: Address) -> None:
         with trio.CancelScope() as scope:
-            self._listening[address] = scope
+            self._listener_scopes[address] = scope
             await trio.serve_listeners(partial(_serve_stream, serve), listeners)
 
 
-async def ready(front: FrontStub) -> bool:
+async def is_ready(front: BenchFront) -> bool:
     """Return whether a front is ready, by its readiness page, as the platform does."""
-    reply = await _page(front, READY_PATH)
+    reply = await _fetch_page(front, READY_PATH)
     return reply is not None and reply[0].status == STATUS_OK
 
 
-async def shows(front: FrontStub, metric: str) -> bool:
+async def has_metric_line(front: BenchFront, metric: str) -> bool:
     """Return whether a front's metrics page has the line ``metric``."""
-    reply = await _page(front, METRICS_PATH)
+    reply = await _fetch_page(front, METRICS_PATH)
     return reply is not None and metric in reply[1].decode().splitlines()
 
 
-async def _page(front: FrontStub, path: str) -> tuple[ResponseHead, bytes] | None:
+async def _fetch_page(front: BenchFront, path: str) -> tuple[ResponseHead, bytes] | None:
     try:
-        conn = ClientConn(await SocketNetwork().connect(front.ready, CONNECT_S))
+        conn = ClientConn(await SocketNetwork().connect(front.ready, CONNECT_TIMEOUT_S))
     except ConnectFailedError:
         return None
     try:
-        return await conn.ask(RequestHead(b'GET', path.encode(), ((b'host', b'x'),)))
+        return await conn.exchange(RequestHead(b'GET', path.encode(), ((b'host', b'x'),)))
     except ConnBrokenError:
         return None
     finally:
         conn.close()
 
 
-def caller_of(front: FrontStub) -> Caller:
+def new_caller(front: BenchFront) -> Caller:
     """Return a new caller of a front, over real sockets."""
     return Caller(SocketNetwork(), front.listen)
 
 
 @asynccontextmanager
-async def running_processes(configuration: object, folder: Path, fronts: int) -> AsyncIterator[ProcessBed]:
+async def open_process_bench(configuration: object, folder: Path, fronts: int) -> AsyncIterator[ProcessBench]:
     """Run a bench with ``fronts`` front processes, which are killed at the end."""
     async with trio.open_nursery() as nursery:
-        bed = ProcessBed(nursery, folder)
+        bed = ProcessBench(nursery, folder)
         try:
             await bed.start(configuration)
             for _ in range(fronts):
                 await bed.add_front()
             yield bed
         finally:
-            bed.end()
+            bed.kill_fronts()
             nursery.cancel_scope.cancel()
 
 
-def log_of(settings: Path) -> Path:
+def log_path_of(settings: Path) -> Path:
     """Return the path of the log of the front with these settings."""
     return settings.with_suffix('.log')
 
 
-async def _start(settings: Path) -> trio.Process:
+async def _start_process(settings: Path) -> trio.Process:
     command = [sys.executable, '-m', 'sesamepoint.cli', 'front', '--settings', str(settings)]
-    return await trio.lowlevel.open_process(command, stdout=log_of(settings).open('ab'))
+    return await trio.lowlevel.open_process(command, stdout=log_path_of(settings).open('ab'))
 
 
 async def _free_port(host: str) -> int:
@@ -260,4 +260,4 @@
     await serve(SocketTransport(stream))
 
 
-__all__ = ('FrontStub', 'ProcessBed', 'caller_of', 'ready', 'running_processes')
+__all__ = ('BenchFront', 'ProcessBench', 'is_ready', 'new_caller', 'open_process_bench')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
@@ -13,9 +13,9 @@
 
 from sesamepoint_core.serving.kv_cache import CacheModel
 from sesamepoint_core.serving.prompt import Part
-from sesamepoint.http1.messages import RejectedMessageError, header
-from sesamepoint.http1.server import CallerGoneError, Message, ServerConn, ServerLimits
-from sesamepoint.platform import names
+from sesamepoint.http1.messages import RejectedRequestError, header
+from sesamepoint.http1.server import CallerGoneError, ReceivedRequest, ServerConn, ServerLimits
+from sesamepoint.platform import wire_names
 from sesamepoint.single_error import single_error
 from sesamepoint_standins.platform.network import MemoryTransport
 
@@ -29,7 +29,7 @@
 STATUS_OK = 200
 STATUS_MISDIRECTED = 421
 STATUS_UNAVAILABLE = 503
-EXTRA_ANSWER = (
+SURPLUS_ANSWER = (
     b'HTTP/1.1 200 OK\r\nsesamepoint-request-id: %b\r\nsesamepoint-server-stamp: x\r\ncontent-length: 2\r\n\r\nno'
 )
 
@@ -38,18 +38,18 @@
     """Performance of an engine.
 
     The defaults are the figures of the smaller deployment's sheet. Rates are in
-    tokens/s; an event of a stream takes ``stride`` steps of ``step_s`` seconds,
-    plus ``step_slot_s`` for each running request.
+    tokens/s; an event of a stream takes ``steps_per_event`` steps of ``step_s`` seconds,
+    plus ``step_s_per_slot`` for each running request.
     """
 
-    tokens_s: float = 112_000.0
+    prefill_tokens_per_s: float = 112_000.0
     overhead_s: float = 0.031
     step_s: float = 0.0034
-    step_slot_s: float = 0.0001
-    stride: int = 10
+    step_s_per_slot: float = 0.0001
+    steps_per_event: int = 10
     # Transfer of prefix blocks from another engine: 370 Gbit/s, 18 KB a token.
     fetch_s: float = 0.025
-    fetch_tokens_s: float = 2_500_000.0
+    fetch_tokens_per_s: float = 2_500_000.0
     kv_tokens: int = 548_319
     slots: int = 24
 
@@ -59,24 +59,24 @@
     """Run of one request at a runner."""
 
     request_id: str
-    message: Message
-    started: float
-    ended: float | None = None
-    whole: bool = False
+    message: ReceivedRequest
+    started_at: float
+    ended_at: float | None = None
+    complete: bool = False
     prefill: bool = False
 
 
-class Told(NamedTuple):
-    """Status that a runner reported in an answer to the host ``sender``.
+class StatusReport(NamedTuple):
+    """Status that a runner reported in an answer to the host ``instance``.
 
-    ``rest_s`` is the requested back-off in seconds, 0 without one.
+    ``back_off_s`` is the requested back-off in seconds, 0 without one.
     """
 
-    at: float
-    sender: str
-    leaving: bool
-    rest_s: float
-    request: str = ''
+    reported_at: float
+    instance: str
+    draining: bool
+    back_off_s: float
+    request_id: str = ''
 
 
 @dataclass
@@ -106,51 +106,51 @@
     speed: EngineSpeed = field(default_factory=EngineSpeed)
     work_s: float = 0.03
     faults: Faults = field(default_factory=Faults)
-    leaving: bool = False
-    tells_kept: bool = True
+    draining: bool = False
+    serves_inventory: bool = True
     born_ms: int = 0
     # Runners from which this one can fetch prefix blocks, by address.
-    others: dict[str, RunnerStandIn] = field(default_factory=dict)
+    engines_by_address: dict[str, RunnerStandIn] = field(default_factory=dict)
     # Values of the rate limit headers in its answers.
-    names_limit: tuple[bytes, ...] = ()
+    limit_headers: tuple[bytes, ...] = ()
     # Values of the draining headers in its answers.
-    says_leaving: tuple[bytes, ...] = ()
+    draining_headers: tuple[bytes, ...] = ()
     # Values of the back-off headers in answers that reject a request.
-    asks_rest: tuple[bytes, ...] = ()
+    back_off_headers: tuple[bytes, ...] = ()
     # Host whose requests the fault ``rejects`` applies to; empty for all hosts.
-    rejects_from: str = ''
+    rejected_host: str = ''
     # Reports of draining or back-off that were sent.
-    told: list[Told] = field(default_factory=list)
+    status_reports: list[StatusReport] = field(default_factory=list)
     # Arrival times of all requests, including inventory calls and releases of KV handles.
     arrivals: list[float] = field(default_factory=list)
     # Their ids, empty for requests that no caller sent.
-    requests: list[str] = field(default_factory=list)
+    request_ids: list[str] = field(default_factory=list)
     # Their sending hosts.
-    senders: list[str] = field(default_factory=list)
+    sender_hosts: list[str] = field(default_factory=list)
     # Arrival times of requests that were rejected as meant for another incarnation.
     misdirected_at: set[float] = field(default_factory=set)
     # Arrival times of inventory calls and releases of KV handles that no caller sent.
-    besides_at: set[float] = field(default_factory=set)
+    internal_at: set[float] = field(default_factory=set)
     # A request whose body contains these bytes crashes the runner when it starts to run.
-    ends_on: bytes = b''
+    crash_marker: bytes = b''
     # Called when such a request starts to run.
-    on_end: Callable[[RunnerStandIn], None] | None = None
+    on_crash: Callable[[RunnerStandIn], None] | None = None
     runs: list[Run] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Start without requests."""
         self.cache = CacheModel(self.speed.kv_tokens)
         self.running = 0
-        self.misdirected = 0
-        self.listings = 0
-        self._reading = trio.Lock()
-        self._places = trio.Semaphore(self.speed.slots)
-        self._read_s: float = 0
-        self._handles: dict[str, str] = {}
+        self.misdirected_count = 0
+        self.inventory_calls = 0
+        self._prefill_lock = trio.Lock()
+        self._slots = trio.Semaphore(self.speed.slots)
+        self._prefilled_s: float = 0
+        self._kv_handles: dict[str, str] = {}
         self._rng = Random(self.key)
 
     @property
-    def record(self) -> dict[str, object]:
+    def registration(self) -> dict[str, object]:
         """Return its registration, as stored in the platform's store."""
         found: dict[str, object] = {
             'service': self.service,
@@ -158,7 +158,7 @@
             'zone': self.zone,
             'version': 'v1',
             'slots': self.speed.slots,
-            'state': 'draining' if self.leaving else 'ready',
+            'state': 'draining' if self.draining else 'ready',
             'cold_remaining_ms': 0,
             'sequence': 0,
         }
@@ -166,43 +166,43 @@
             found['born'] = self.born_ms
         return {**found, 'stage': self.stage, 'models': [{'name': 'm', 'version': 1}]} if self.stage else found
 
-    def arrived(self, since: float, until: float) -> int:
-        """Return how many requests arrived from ``since`` until before ``until``."""
+    def count_arrivals(self, since: float, until: float) -> int:
+        """Return how many requests arrived from ``changed_at`` until before ``until``."""
         return bisect_left(self.arrivals, until) - bisect_left(self.arrivals, since)
 
-    def start_again(self, born_ms: int) -> None:
+    def restart(self, born_ms: int) -> None:
         """Restart under the same key, with an empty cache and no KV handles."""
         self.born_ms = born_ms
         self.cache = CacheModel(self.speed.kv_tokens)
-        self._handles = {}
+        self._kv_handles = {}
 
     async def serve(self, transport: Transport) -> None:
         """Serve one connection."""
         conn = ServerConn(transport, ServerLimits())
         try:
-            while await conn.first_byte():
-                await self._serve_request(conn, await conn.request(), transport)
+            while await conn.wait_for_request():
+                await self._serve_request(conn, await conn.read_request(), transport)
                 if not conn.reusable:
                     return
-                conn.next_cycle()
-        except (CallerGoneError, RejectedMessageError):
+                conn.start_next_cycle()
+        except (CallerGoneError, RejectedRequestError):
             return
         finally:
             transport.close()
 
-    async def _serve_request(self, conn: ServerConn, message: Message, transport: Transport) -> None:
-        self._note_arrival(message, transport)
+    async def _serve_request(self, conn: ServerConn, message: ReceivedRequest, transport: Transport) -> None:
+        self._record_arrival(message, transport)
         if message.head.method == b'DELETE':
-            self._handles.pop(message.head.target.decode().rpartition('/')[2], None)
-            await conn.whole(STATUS_OK, self._words(transport), b'')
+            self._kv_handles.pop(message.head.target.decode().rpartition('/')[2], None)
+            await conn.send_whole(STATUS_OK, self._status_headers(transport), b'')
             return
-        if message.head.target == names.KV_LIST_PATH.encode():
-            self.listings += 1
-            held = [['', part.key, part.tokens, 'm'] for part in self.cache.kept]
+        if message.head.target == wire_names.KV_LIST_PATH.encode():
+            self.inventory_calls += 1
+            held = [['', part.key, part.tokens, 'm'] for part in self.cache.blocks]
             inventory = {'epoch': 1, 'next_token': 0, 'held': held}
             body = msgspec.json.encode({**inventory, 'born': self.born_ms} if self.born_ms else inventory)
-            status = STATUS_OK if self.tells_kept and not self.faults.rejects else STATUS_UNAVAILABLE
-            await conn.whole(status, self._words(transport, status), body)
+            status = STATUS_OK if self.serves_inventory and not self.faults.rejects else STATUS_UNAVAILABLE
+            await conn.send_whole(status, self._status_headers(transport, status), body)
             return
         with single_error():
             async with trio.open_nursery() as nursery:
@@ -210,33 +210,33 @@
                 await self._run(conn, message, transport)
                 nursery.cancel_scope.cancel()
 
-    def _note_arrival(self, message: Message, transport: Transport) -> None:
+    def _record_arrival(self, message: ReceivedRequest, transport: Transport) -> None:
         self.arrivals.append(trio.current_time())
-        self.senders.append(transport.peer)
-        self.requests.append((header(message.head.headers, names.REQUEST_ID) or b'').decode())
-        if not self.requests[-1]:
-            self.besides_at.add(self.arrivals[-1])
+        self.sender_hosts.append(transport.peer)
+        self.request_ids.append((header(message.head.headers, wire_names.REQUEST_ID) or b'').decode())
+        if not self.request_ids[-1]:
+            self.internal_at.add(self.arrivals[-1])
 
-    async def _run(self, conn: ServerConn, message: Message, transport: Transport) -> None:
+    async def _run(self, conn: ServerConn, message: ReceivedRequest, transport: Transport) -> None:
         headers = message.head.headers
-        expected = header(headers, names.EXPECT_INCARNATION)
+        expected = header(headers, wire_names.EXPECT_INCARNATION)
         if expected is not None and expected.decode() != self.key:
-            self.misdirected += 1
+            self.misdirected_count += 1
             self.misdirected_at.add(self.arrivals[-1])
-            own = (names.INCARNATION, self.key.encode())
-            return await conn.whole(STATUS_MISDIRECTED, (*self._echo(message, transport), own), b'')
-        if self.faults.rejects and self.rejects_from in {'', transport.peer}:
+            own = (wire_names.INCARNATION, self.key.encode())
+            return await conn.send_whole(STATUS_MISDIRECTED, (*self._echo(message, transport), own), b'')
+        if self.faults.rejects and self.rejected_host in {'', transport.peer}:
             echo = self._echo(message, transport, STATUS_UNAVAILABLE)
-            return await conn.whole(STATUS_UNAVAILABLE, (*echo, (names.NOT_RUN, b'1')), b'')
-        run = Run((header(headers, names.REQUEST_ID) or b'').decode(), message, trio.current_time())
-        run.prefill = header(headers, names.STAGE) == b'prefill'
+            return await conn.send_whole(STATUS_UNAVAILABLE, (*echo, (wire_names.NOT_EXECUTED, b'1')), b'')
+        run = Run((header(headers, wire_names.REQUEST_ID) or b'').decode(), message, trio.current_time())
+        run.prefill = header(headers, wire_names.SERVING_STAGE) == b'prefill'
         self.runs.append(run)
         self.running += 1
         try:
             return await self._work(conn, run, transport)
         finally:
             self.running -= 1
-            run.ended = trio.current_time()
+            run.ended_at = trio.current_time()
 
     async def _work(self, conn: ServerConn, run: Run, transport: Transport) -> None:
         if self.faults.hangs:
@@ -246,136 +246,138 @@
         if self.faults.loses > self._rng.random():
             await trio.sleep(self.work_s)
             return _reset(transport)
-        if header(run.message.head.headers, names.TOKEN_COUNTS) is None:
+        if header(run.message.head.headers, wire_names.TOKEN_COUNTS) is None:
             return await self._answer_plain(conn, run, transport)
         return await self._answer_prompt(conn, run, transport)
 
-    async def _end_if_harmful(self, run: Run) -> None:
+    async def _crash_if_poison(self, run: Run) -> None:
         """Crash this runner with all its requests if ``run`` is a poison request."""
-        if self.ends_on and self.ends_on in run.message.body and self.on_end is not None:
-            self.on_end(self)
+        if self.crash_marker and self.crash_marker in run.message.body and self.on_crash is not None:
+            self.on_crash(self)
             await trio.sleep_forever()
 
     async def _answer_plain(self, conn: ServerConn, run: Run, transport: Transport) -> None:
-        await self._end_if_harmful(run)
+        await self._crash_if_poison(run)
         await trio.sleep(self.work_s)
         status = 500 if self.faults.fails else STATUS_OK
-        await conn.whole(status, self._signed(run.message, transport), body_of(run.request_id))
-        run.whole = True
+        await conn.send_whole(status, self._signed(run.message, transport), plain_body(run.request_id))
+        run.complete = True
         if self.faults.answers_twice:
-            await transport.send_all(EXTRA_ANSWER % run.request_id.encode())
+            await transport.send_all(SURPLUS_ANSWER % run.request_id.encode())
 
     async def _answer_prompt(self, conn: ServerConn, run: Run, transport: Transport) -> None:
         headers = run.message.head.headers
-        source = (header(headers, names.KV_SOURCE) or b'').decode()
-        parts, output = _prompt(run.message)
+        source = (header(headers, wire_names.KV_SOURCE) or b'').decode()
+        parts, output = _parse_prompt(run.message)
         if run.prefill:
             return await self._answer_prefill(conn, run, parts, transport)
-        async with self._places:
+        async with self._slots:
             if not source:
                 await self._fetch(run.message, parts)
-                await self._read(parts)
+                await self._prefill(parts)
             self.cache.touch(parts)
-            await self._end_if_harmful(run)
+            await self._crash_if_poison(run)
             await self._stream(conn, run, output, transport)
 
     async def _answer_prefill(self, conn: ServerConn, run: Run, parts: list[Part], transport: Transport) -> None:
         await self._fetch(run.message, parts)
-        await self._read(parts)
+        await self._prefill(parts)
         self.cache.touch(parts)
         kv_handle = f'h{len(self.runs)}'
-        self._handles[kv_handle] = run.request_id
+        self._kv_handles[kv_handle] = run.request_id
         body = msgspec.json.encode({'kv_handle': kv_handle, 'tokens': 1, 'version': 1})
-        await conn.whole(STATUS_OK, self._echo(run.message, transport), body)
+        await conn.send_whole(STATUS_OK, self._echo(run.message, transport), body)
 
-    async def _fetch(self, message: Message, parts: list[Part]) -> None:
+    async def _fetch(self, message: ReceivedRequest, parts: list[Part]) -> None:
         """Fetch the prefix blocks that another engine has cached and this one has not."""
-        address = header(message.head.headers, names.KV_FETCH)
-        source = self.others.get(address.decode()) if address else None
+        address = header(message.head.headers, wire_names.KV_FETCH)
+        source = self.engines_by_address.get(address.decode()) if address else None
         if source is None:
             return
-        cached_tokens = source.cache.cached(parts)
-        fetched_tokens = cached_tokens - self.cache.cached(parts)
+        cached_tokens = source.cache.cached_tokens(parts)
+        fetched_tokens = cached_tokens - self.cache.cached_tokens(parts)
         if fetched_tokens <= 0:
             return
-        await trio.sleep(self.speed.fetch_s + fetched_tokens / self.speed.fetch_tokens_s)
-        self.cache.touch(_head_of(parts, cached_tokens))
+        await trio.sleep(self.speed.fetch_s + fetched_tokens / self.speed.fetch_tokens_per_s)
+        self.cache.touch(_leading_parts(parts, cached_tokens))
 
-    async def _read(self, parts: list[Part]) -> None:
+    async def _prefill(self, parts: list[Part]) -> None:
         slowdown = 2 if self.stage == 'decode' else 1
-        async with self._reading:
-            uncached_tokens = sum(part.tokens for part in parts) - self.cache.cached(parts)
-            prefill_s = slowdown * uncached_tokens / self.speed.tokens_s
+        async with self._prefill_lock:
+            uncached_tokens = sum(part.tokens for part in parts) - self.cache.cached_tokens(parts)
+            prefill_s = slowdown * uncached_tokens / self.speed.prefill_tokens_per_s
             await trio.sleep(prefill_s)
-            self._read_s += prefill_s
+            self._prefilled_s += prefill_s
         await trio.sleep(self.speed.overhead_s)
 
     async def _stream(self, conn: ServerConn, run: Run, output: int, transport: Transport) -> None:
-        after = int(header(run.message.head.headers, names.LAST_EVENT) or 0)
+        after = int(header(run.message.head.headers, wire_names.LAST_EVENT_ID) or 0)
         event_type = (b'content-type', b'text/event-stream')
         await conn.begin(STATUS_OK, (*self._signed(run.message, transport), event_type))
         for number in range(after + 1, output + 1):
             if after == 0 and number == self.faults.breaks_at_event:
-                await conn.part(b'id: 99\nda')
+                await conn.send_part(b'id: 99\nda')
                 return _reset(transport)
-            await self._steps()
-            await conn.part(event_of(run.request_id, number))
+            await self._decode_event()
+            await conn.send_part(stream_event(run.request_id, number))
         await conn.end()
-        run.whole = True
+        run.complete = True
         return None
 
-    async def _steps(self) -> None:
+    async def _decode_event(self) -> None:
         """Generate the tokens of one event; concurrent prefill delays them by its duration."""
-        earlier_prefill_s = self._read_s
-        await trio.sleep(self.speed.stride * (self.speed.step_s + self.speed.step_slot_s * self.running))
-        await trio.sleep(self._read_s - earlier_prefill_s)
+        earlier_prefill_s = self._prefilled_s
+        await trio.sleep(self.speed.steps_per_event * (self.speed.step_s + self.speed.step_s_per_slot * self.running))
+        await trio.sleep(self._prefilled_s - earlier_prefill_s)
 
-    def _echo(self, message: Message, transport: Transport, status: int = STATUS_OK) -> Headers:
-        request_id = header(message.head.headers, names.REQUEST_ID) or b''
-        return ((names.REQUEST_ID, request_id), *self._words(transport, status, request_id.decode()))
+    def _echo(self, message: ReceivedRequest, transport: Transport, status: int = STATUS_OK) -> Headers:
+        request_id = header(message.head.headers, wire_names.REQUEST_ID) or b''
+        return ((wire_names.REQUEST_ID, request_id), *self._status_headers(transport, status, request_id.decode()))
 
-    def _words(self, transport: Transport, status: int = STATUS_OK, request: str = '') -> Headers:
+    def _status_headers(self, transport: Transport, status: int = STATUS_OK, request_id: str = '') -> Headers:
         """Return the status headers of an answer, and record a report of draining or back-off."""
-        back_off = self.asks_rest if status == STATUS_UNAVAILABLE else ()
-        if self.says_leaving or back_off:
-            self.told.append(
-                Told(trio.current_time(), transport.peer, bool(self.says_leaving), _longest(back_off), request)
+        back_off = self.back_off_headers if status == STATUS_UNAVAILABLE else ()
+        if self.draining_headers or back_off:
+            self.status_reports.append(
+                StatusReport(
+                    trio.current_time(), transport.peer, bool(self.draining_headers), _max_seconds(back_off), request_id
+                )
             )
         return (
-            *((names.RUNNER_LIMIT, text) for text in self.names_limit),
-            *((names.RUNNER_LEAVING, text) for text in self.says_leaving),
-            *((names.RETRY_AFTER, text) for text in back_off),
+            *((wire_names.RUNNER_LIMIT, text) for text in self.limit_headers),
+            *((wire_names.RUNNER_DRAINING, text) for text in self.draining_headers),
+            *((wire_names.RETRY_AFTER, text) for text in back_off),
         )
 
-    def _signed(self, message: Message, transport: Transport) -> Headers:
+    def _signed(self, message: ReceivedRequest, transport: Transport) -> Headers:
         if self.faults.unsigned:
             return self._echo(message, transport)
-        return (*self._echo(message, transport), (names.SIGNATURE, self.key.encode()))
+        return (*self._echo(message, transport), (wire_names.SIGNATURE, self.key.encode()))
 
 
-def _longest(texts: tuple[bytes, ...]) -> float:
+def _max_seconds(texts: tuple[bytes, ...]) -> float:
     """Return the longest back-off that the header values request, in seconds."""
     return max((float(text) for text in texts if text.isdigit()), default=0)
 
 
-def body_of(request_id: str) -> bytes:
+def plain_body(request_id: str) -> bytes:
     """Return the body of the answer of any plain runner."""
     return f'answer to {request_id}'.encode()
 
 
-def event_of(request_id: str, number: int) -> bytes:
+def stream_event(request_id: str, number: int) -> bytes:
     """Return one event of the stream of an answer."""
     return f'id: {number}\ndata: {request_id} {number}\n\n'.encode()
 
 
-def _prompt(message: Message) -> tuple[list[Part], int]:
-    counts = header(message.head.headers, names.TOKEN_COUNTS) or b'0,0'
-    encoded = (header(message.head.headers, names.PROMPT_PARTS) or b'').decode()
+def _parse_prompt(message: ReceivedRequest) -> tuple[list[Part], int]:
+    counts = header(message.head.headers, wire_names.TOKEN_COUNTS) or b'0,0'
+    encoded = (header(message.head.headers, wire_names.PROMPT_PREFIX) or b'').decode()
     blocks = [block.partition(':') for block in encoded.split(',') if block]
     return [Part(key, int(tokens)) for key, _, tokens in blocks], int(counts.split(b',')[1])
 
 
-def _head_of(parts: list[Part], tokens: int) -> list[Part]:
+def _leading_parts(parts: list[Part], tokens: int) -> list[Part]:
     """Return the leading prefix blocks that ``tokens`` tokens cover completely."""
     ends = accumulate(part.tokens for part in parts)
     return [part for part, end in zip(parts, ends, strict=True) if end <= tokens]
@@ -388,8 +390,8 @@
 
 
 async def _cancel_when_gone(conn: ServerConn, scope: trio.CancelScope) -> None:
-    await conn.watch()
+    await conn.wait_for_close()
     scope.cancel()
 
 
-__all__ = ('EngineSpeed', 'Faults', 'Run', 'RunnerStandIn', 'Told', 'body_of', 'event_of')
+__all__ = ('EngineSpeed', 'Faults', 'Run', 'RunnerStandIn', 'StatusReport', 'plain_body', 'stream_event')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/usage.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/usage.py
@@ -7,9 +7,9 @@
 import msgspec
 import trio
 
-from sesamepoint.http1.messages import RejectedMessageError, header
-from sesamepoint.http1.server import CallerGoneError, Message, ServerConn, ServerLimits
-from sesamepoint.platform import names
+from sesamepoint.http1.messages import RejectedRequestError, header
+from sesamepoint.http1.server import CallerGoneError, ReceivedRequest, ServerConn, ServerLimits
+from sesamepoint.platform import wire_names
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -18,9 +18,9 @@
 
 STATUS_OK = 200
 STATUS_UNAVAILABLE = 503
-ANSWER_S = 0.004
+ANSWER_DELAY_S = 0.004
 # Time of day at the start of virtual time, in seconds since 1970.
-BEGAN_S = 1_800_000_000
+START_TIME_OF_DAY_S = 1_800_000_000
 
 
 class VirtualClock:
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         """Start without an offset."""
-        self.off_s: float = 0
+        self.offset_s: float = 0
 
     def steady(self) -> float:
         """Return trio's time, in seconds."""
@@ -36,13 +36,13 @@
 
     def time_of_day(self) -> float:
         """Return the time of day of this machine, in seconds since 1970."""
-        return BEGAN_S + trio.current_time() + self.off_s
+        return START_TIME_OF_DAY_S + trio.current_time() + self.offset_s
 
 
-class Reported(NamedTuple):
+class UsageReport(NamedTuple):
     """Usage report as received."""
 
-    at: float
+    received_at: float
     holder: str
     fence: int
     body: bytes
@@ -63,67 +63,67 @@
 
     def __init__(self) -> None:
         """Start without reports and faults."""
-        self.came: list[Reported] = []
-        self.refuses = False
+        self.reports: list[UsageReport] = []
+        self.rejects = False
         # Delay of the answer to a report that was stored, in seconds.
-        self.slow_s: float = 0
+        self.extra_delay_s: float = 0
 
     async def serve(self, transport: Transport) -> None:
         """Serve one connection."""
         conn = ServerConn(transport, ServerLimits())
         try:
-            while await conn.first_byte():
-                await conn.whole(await self._take(await conn.request()), (), b'')
-                conn.next_cycle()
-        except (CallerGoneError, RejectedMessageError):
+            while await conn.wait_for_request():
+                await conn.send_whole(await self._receive_report(await conn.read_request()), (), b'')
+                conn.start_next_cycle()
+        except (CallerGoneError, RejectedRequestError):
             return
         finally:
             transport.close()
 
     def counts(self) -> dict[int, dict[str, int]]:
         """Return the reported counts by window."""
-        return {one.window: one.counts for one in self.came}
+        return {one.window: one.counts for one in self.reports}
 
-    def broken(self, turns_s: float) -> list[str]:
+    def violations(self, min_turn_s: float) -> list[str]:
         """Return the violations by holders of the duty.
 
         These are different counts for one window, fencing numbers that decrease or
-        have two holders, and holders that alternate within ``turns_s`` seconds.
+        have two holders, and holders that alternate within ``min_turn_s`` seconds.
         """
-        return [*self._differing(), *self._fences(), *self._turns(turns_s)]
+        return [*self._conflicting_reports(), *self._fencing_violations(), *self._turn_violations(min_turn_s)]
 
-    async def _take(self, message: Message) -> int:
+    async def _receive_report(self, message: ReceivedRequest) -> int:
         headers = message.head.headers
-        if self.refuses:
+        if self.rejects:
             return STATUS_UNAVAILABLE
-        holder = (header(headers, names.DUTY_HOLDER) or b'').decode()
-        fence = int(header(headers, names.FENCING_NUMBER) or b'-1')
-        self.came.append(Reported(trio.current_time(), holder, fence, message.body))
-        await trio.sleep(ANSWER_S + self.slow_s)
+        holder = (header(headers, wire_names.DUTY_HOLDER) or b'').decode()
+        fence = int(header(headers, wire_names.FENCING_TOKEN) or b'-1')
+        self.reports.append(UsageReport(trio.current_time(), holder, fence, message.body))
+        await trio.sleep(ANSWER_DELAY_S + self.extra_delay_s)
         return STATUS_OK
 
-    def _differing(self) -> Iterator[str]:
+    def _conflicting_reports(self) -> Iterator[str]:
         seen: dict[int, bytes] = {}
-        for one in self.came:
+        for one in self.reports:
             if seen.setdefault(one.window, one.body) != one.body:
                 yield f'window {one.window} was reported twice with different counts'
 
-    def _fences(self) -> Iterator[str]:
+    def _fencing_violations(self) -> Iterator[str]:
         highest = -1
         holder_of: dict[int, str] = {}
-        for one in self.came:
+        for one in self.reports:
             if one.fence < highest:
                 yield f'fencing number {one.fence} after {highest}'
             if holder_of.setdefault(one.fence, one.holder) != one.holder:
                 yield f'fencing number {one.fence} has two holders'
             highest = max(highest, one.fence)
 
-    def _turns(self, turns_s: float) -> Iterator[str]:
-        for index, last in enumerate(self.came):
-            recent = [one for one in self.came[:index] if one.at > last.at - turns_s]
+    def _turn_violations(self, min_turn_s: float) -> Iterator[str]:
+        for index, last in enumerate(self.reports):
+            recent = [one for one in self.reports[:index] if one.received_at > last.received_at - min_turn_s]
             same_holder = [position for position, one in enumerate(recent) if one.holder == last.holder]
             if same_holder and any(one.holder != last.holder for one in recent[same_holder[0] :]):
-                yield f'two holders alternated before {last.at}'
+                yield f'two holders alternated before {last.received_at}'
 
 
-__all__ = ('BEGAN_S', 'Reported', 'UsageStandIn', 'VirtualClock')
+__all__ = ('START_TIME_OF_DAY_S', 'UsageReport', 'UsageStandIn', 'VirtualClock')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/virtual_time.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/virtual_time.py
@@ -28,11 +28,11 @@
     return trio.run(main, *arguments, clock=MockClock(autojump_threshold=0))
 
 
-def quiet_logs() -> None:
+def disable_logging() -> None:
     """Disable the log output of ``sesamepoint``, thousands of lines a run."""
     logger = logging.getLogger('sesamepoint')
     logger.addHandler(logging.NullHandler())
     logger.propagate = False
 
 
-__all__ = ('quiet_logs', 'run_virtual')
+__all__ = ('disable_logging', 'run_virtual')
--- a/packages/sesamepoint/src/sesamepoint/agent/orders.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/orders.py
@@ -81,7 +81,7 @@
 
     async def _carry_out(self, order: StandingOrder) -> None:
         if order.done:
-            events.log_event(events.HALF_SWITCHED, runner=self._agent.runner, role=self._agent.load.role)
+            events.log_event(events.UNEXPECTED_UPSTREAM_STATE, runner=self._agent.runner, role=self._agent.load.role)
         self._agent.held = True
         try:
             await self._drain_and_send(order)
--- a/packages/sesamepoint/src/sesamepoint/cli.py
+++ b/packages/sesamepoint/src/sesamepoint/cli.py
@@ -27,7 +27,7 @@
 
 from sesamepoint import events
 from sesamepoint.command_line import run_command_line
-from sesamepoint.process.stop import run_until_stopped
+from sesamepoint.process.graceful_stop import run_until_stopped
 from sesamepoint.single_error import single_error
 
 if TYPE_CHECKING:
@@ -66,14 +66,14 @@
     """
     if arguments['front']:
         return _build_front(arguments['--settings'])
-    from sesamepoint.process import own_settings  # noqa: PLC0415
+    from sesamepoint.process import process_builders  # noqa: PLC0415
 
     path = Path(arguments['--settings'])
-    return own_settings.build_entry(path) if arguments['entry'] else own_settings.build_agent(path)
+    return process_builders.build_entry(path) if arguments['entry'] else process_builders.build_agent(path)
 
 
 def _build_front(path: str | None) -> Process:
-    from sesamepoint.platform.names import SETTINGS_VARIABLE  # noqa: PLC0415
+    from sesamepoint.platform.wire_names import SETTINGS_VARIABLE  # noqa: PLC0415
     from sesamepoint.process.front_process import FrontProcess  # noqa: PLC0415
 
     process = FrontProcess.from_config(Path(path or os.environ[SETTINGS_VARIABLE]))
--- a/packages/sesamepoint/src/sesamepoint/command_line.py
+++ b/packages/sesamepoint/src/sesamepoint/command_line.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-EXIT_REFUSED = 1
+EXIT_FAILURE = 1
 EXIT_USAGE = 2
 
 
@@ -22,7 +22,7 @@
     usage: str,
     program: str,
     argv: Sequence[str] | None,
-    act: Callable[[dict[str, Any]], None],
+    command: Callable[[dict[str, Any]], None],
 ) -> int:
     """Parse arguments by ``usage``, run the command with them, and return the exit status.
 
@@ -38,13 +38,13 @@
         sys.stderr.write(f'{exc}\n')
         return EXIT_USAGE
     try:
-        act(arguments)
+        command(arguments)
     except SettingsError as exc:
         sys.stderr.write(f'{exc}\n')
         return EXIT_USAGE
     except (SesamepointError, OSError) as exc:
         sys.stderr.write(f'{exc}\n')
-        return EXIT_REFUSED
+        return EXIT_FAILURE
     return 0
 
 
--- a/packages/sesamepoint/src/sesamepoint/control/follower.py
+++ b/packages/sesamepoint/src/sesamepoint/control/follower.py
@@ -24,7 +24,7 @@
     from sesamepoint_core.config.model import InForce
     from sesamepoint_core.fold.records import Body
     from sesamepoint_core.fold.verdict import Verdict
-    from sesamepoint.platform.messages import LogRecord, LogService
+    from sesamepoint.platform.service_interfaces import LogRecord, LogService
 
 POLL_WAIT_S = 5.0
 RETRY_S = 0.5
@@ -228,7 +228,7 @@
         if isinstance(step.verdict, Rejected):
             events.log_event(events.RECORD_REJECTED, offset=offset, code=step.verdict.code, reason=step.verdict.reason)
         if self.state.version != before:
-            events.log_event(events.VERSION_IN_FORCE, version=self.state.version, offset=offset)
+            events.log_event(events.CONFIGURATION_APPLIED, version=self.state.version, offset=offset)
         self.changed.set_off()
 
     def _note_reachable(self, *, reachable: bool, cause: str) -> None:
--- a/packages/sesamepoint/src/sesamepoint/control/leader.py
+++ b/packages/sesamepoint/src/sesamepoint/control/leader.py
@@ -73,7 +73,7 @@
             return
         chosen = plan.chosen
         order = Order(self._fleet, chosen.runner, chosen.role, fence, now.version, plan.reason)
-        events.log_event(events.ORDER_GIVEN, runner=chosen.runner, role=chosen.role, reason=plan.reason)
+        events.log_event(events.ORDER_ISSUED, runner=chosen.runner, role=chosen.role, reason=plan.reason)
         # An order that waits out an outage would act on figures long gone.
         with trio.move_on_after(ORDER_WAIT_S):
             await self._follower.submit(order)
--- a/packages/sesamepoint/src/sesamepoint/entry/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/admission.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from sesamepoint_core.admit.accounts import AccountLimits
-from sesamepoint_core.admit.margin import Margin
+from sesamepoint_core.admit.account_limits import AccountLimits
+from sesamepoint_core.admit.deadline_margin import DeadlineMargin
 from sesamepoint_core.answer.outcome import NotRun
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
         self._follower = follower
         self._fleets = fleets
         self._accounts = AccountLimits()
-        self._margins: defaultdict[tuple[str, bool], Margin] = defaultdict(Margin)
+        self._margins: defaultdict[tuple[str, bool], DeadlineMargin] = defaultdict(DeadlineMargin)
 
     def over_limit(self, req: CallerRequest) -> NotRun | None:
         """Return the refusal of a request that is over its account's rate."""
@@ -49,7 +49,7 @@
         """Learn from a request that was let in."""
         self._margin(req).observe(late=late)
 
-    def _margin(self, req: CallerRequest) -> Margin:
+    def _margin(self, req: CallerRequest) -> DeadlineMargin:
         return self._margins[req.fleet, req.job.urgent]
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/entry.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/entry.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from sesamepoint_core.admit.budget import RetryBudget
+from sesamepoint_core.admit.retry_budget import RetryBudget
 from sesamepoint_core.answer.outcome import Answered, Failed, NotRun, Outcome, Unknown
 from sesamepoint_core.plan.demand import Demand
 from sesamepoint_core.policy import POLICIES
@@ -17,9 +17,9 @@
 from sesamepoint.entry.admission import Admission
 from sesamepoint.entry.attempt import EntryAttempt
 from sesamepoint.entry.keyed import KeyedRequests
-from sesamepoint.incarnation import new_id
 from sesamepoint.keys.asker import KeyAsker
 from sesamepoint.link.messages import DEADLINE_PASSED, NEVER_ARRIVED, End
+from sesamepoint.unique_ids import new_id
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/packages/sesamepoint/src/sesamepoint/entry/fleets.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/fleets.py
@@ -22,7 +22,7 @@
     from sesamepoint.control.follower import Follower
     from sesamepoint.link.base import AgentLink
     from sesamepoint.link.messages import LoadReport
-    from sesamepoint.platform.messages import InstanceList
+    from sesamepoint.platform.service_interfaces import InstanceList
 
 LIST_INTERVAL_S = 1.0
 BEAT_INTERVAL_S = 1.0
@@ -118,7 +118,7 @@
             except PlatformUnavailableError:
                 listed = None
             if listed is not None:
-                leaving = {found.address for found in listed if found.leaving}
+                leaving = {found.address for found in listed if found.draining}
                 for view in self.views.values():
                     view.platform_leaving = view.cfg['agent'] in leaving
             await trio.sleep(LIST_INTERVAL_S)
--- a/packages/sesamepoint/src/sesamepoint/entry/http.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/http.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from sesamepoint_core.admit import limits
+from sesamepoint_core.admit import input_limits
 from sesamepoint_core.answer.outcome import Answered, NotRun
 from sesamepoint_core.config.check import NotConfiguredError
 from sesamepoint.entry import render
@@ -33,7 +33,7 @@
     """Serves callers; health checks are on the metrics address."""
 
     def __init__(self, entry: Entry) -> None:
-        """Serve from ``entry``."""
+        """Serve from ``instance``."""
         self._entry = entry
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -130,8 +130,10 @@
         message = await receive()
         body += message.get('body', b'')
         more = message.get('more_body', False)
-        if len(body) > limits.MAX_BODY_BYTES:
-            raise BadRequestError('body_too_large', f'the body is over {limits.MAX_BODY_BYTES} bytes', 'send less')
+        if len(body) > input_limits.MAX_BODY_BYTES:
+            raise BadRequestError(
+                'body_too_large', f'the body is over {input_limits.MAX_BODY_BYTES} bytes', 'send less'
+            )
     headers = {name.decode('latin-1').lower(): text.decode('latin-1') for name, text in scope['headers']}
     return RawRequest(scope['method'], scope['path'], headers, bytes(body))
 
--- a/packages/sesamepoint/src/sesamepoint/entry/keyed.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/keyed.py
@@ -8,10 +8,10 @@
 import trio
 
 from sesamepoint_core.answer.outcome import Answered, Failed, NotRun, Outcome, Unknown
-from sesamepoint.incarnation import new_id
 from sesamepoint.keys.asker import KeyAsker, claim_of
 from sesamepoint.keys.messages import ClaimReply, Standing
 from sesamepoint.link.messages import End
+from sesamepoint.unique_ids import new_id
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
--- a/packages/sesamepoint/src/sesamepoint/entry/parse.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/parse.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sesamepoint_core.admit import limits
+from sesamepoint_core.admit import input_limits
 from sesamepoint_core.errors import SesamepointError
 from sesamepoint_core.units import MS_PER_S
 from sesamepoint.entry.request import CallerRequest
@@ -49,7 +49,9 @@
 
     model: str
     prompt: str
-    max_tokens: Annotated[int, msgspec.Meta(ge=1, le=limits.MAX_OUTPUT_TOKENS)] = limits.DEFAULT_OUTPUT_TOKENS
+    max_tokens: Annotated[int, msgspec.Meta(ge=1, le=input_limits.MAX_OUTPUT_TOKENS)] = (
+        input_limits.DEFAULT_OUTPUT_TOKENS
+    )
     stream: bool = False
 
 
@@ -65,12 +67,12 @@
     fleet = fleets.fleet_of_model(body.model)
     if fleet is None:
         raise BadRequestError('unknown_model', f'no fleet serves the model {body.model!r}', 'name a configured model')
-    prompt_tokens = math.ceil(len(body.prompt) / limits.CHARS_PER_TOKEN)
-    if prompt_tokens > limits.MAX_PROMPT_TOKENS:
+    prompt_tokens = math.ceil(len(body.prompt) / input_limits.CHARS_PER_TOKEN)
+    if prompt_tokens > input_limits.MAX_PROMPT_TOKENS:
         raise BadRequestError(
             'prompt_too_long',
             f'the prompt has about {prompt_tokens} tokens',
-            f'send at most {limits.MAX_PROMPT_TOKENS}',
+            f'send at most {input_limits.MAX_PROMPT_TOKENS}',
         )
     urgent = _choice(raw.headers, 'x-priority', PRIORITIES, default=True)
     job = Job('engine', raw.method, raw.path, raw.body, prompt_tokens, body.max_tokens, urgent, *_prefix(body.prompt))
@@ -105,7 +107,7 @@
 
 def _with_headers(raw: RawRequest, fleet: str, job: Job, *, streamed: bool) -> CallerRequest:
     key = raw.headers.get('idempotency-key', '')
-    if len(key) > limits.MAX_KEY_CHARS:
+    if len(key) > input_limits.MAX_KEY_CHARS:
         raise BadRequestError('key_too_long', f'the idempotency key has {len(key)} characters', 'use at most 128')
     safe = job.kind == 'engine' or job.method in SAFE_METHODS
     repeatable = _choice(raw.headers, 'x-repeatable', REPEATABLE, default=safe)
@@ -116,14 +118,14 @@
 def _timeout_s(headers: Mapping[str, str]) -> float:
     text = headers.get('x-timeout-ms')
     if text is None:
-        return limits.DEFAULT_TIMEOUT_S
+        return input_limits.DEFAULT_TIMEOUT_S
     try:
         timeout_s = int(text) / MS_PER_S
     except ValueError as exc:
         raise BadRequestError('bad_timeout', f'x-timeout-ms is {text!r}', 'send whole milliseconds') from exc
     if timeout_s <= 0:
         raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the time that is left, above 0')
-    return min(timeout_s, limits.MAX_TIMEOUT_S)
+    return min(timeout_s, input_limits.MAX_TIMEOUT_S)
 
 
 def _choice(headers: Mapping[str, str], name: str, choices: Mapping[str, bool], *, default: bool) -> bool:
@@ -136,10 +138,10 @@
 
 
 def _prefix(prompt: str) -> tuple[str, int]:
-    if len(prompt) < limits.PREFIX_CHARS:
+    if len(prompt) < input_limits.PREFIX_CHARS:
         return '', 0
-    head = prompt[: limits.PREFIX_CHARS].encode(errors='replace')
-    return hashlib.blake2b(head, digest_size=8).hexdigest(), limits.PREFIX_CHARS // limits.CHARS_PER_TOKEN
+    head = prompt[: input_limits.PREFIX_CHARS].encode(errors='replace')
+    return hashlib.blake2b(head, digest_size=8).hexdigest(), input_limits.PREFIX_CHARS // input_limits.CHARS_PER_TOKEN
 
 
 __all__ = ('SERVICES_PATH', 'BadRequestError', 'RawRequest', 'parse_completion', 'parse_plain')
--- a/packages/sesamepoint/src/sesamepoint/entry/view.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/view.py
@@ -108,7 +108,7 @@
             self._miss(generation, str(exc))
             return
         if not self.alive:
-            events.log_event(events.RUNNER_BACK, runner=self.name)
+            events.log_event(events.RUNNER_RECOVERED, runner=self.name)
         self.take_report(report, asked_at)
         if report.folded > follower.state.offset:
             await self._catch_up(follower)
@@ -129,7 +129,7 @@
         self._missed += 1
         self.link.renew(generation)
         if self._missed == LOST_AFTER:
-            events.log_event(events.RUNNER_LOST, runner=self.name, cause=cause)
+            events.log_event(events.RUNNER_DECLARED_DEAD, runner=self.name, cause=cause)
 
 
 __all__ = ('RunnerView',)
--- a/packages/sesamepoint/src/sesamepoint/events.py
+++ b/packages/sesamepoint/src/sesamepoint/events.py
@@ -9,7 +9,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from sesamepoint_core.registry import Registry
-from sesamepoint.log_output import NonBlockingOutput, RateLimit
+from sesamepoint.log_output import LogRateLimit, NonBlockingOutput
 
 _logger = logging.getLogger('sesamepoint')
 
@@ -42,86 +42,88 @@
 PROCESS_STARTED = _event(1001, logging.INFO, 'process started')
 STOP_REQUESTED = _event(1002, logging.INFO, 'graceful stop requested')
 PROCESS_STOPPED = _event(1003, logging.INFO, 'process stopped')
-PART_RESTARTED = _event(1101, logging.WARNING, 'part failed and is restarted')
-PART_GAVE_UP = _event(1102, logging.ERROR, 'part failed too often')
-METRICS_UNSERVED = _event(1103, logging.ERROR, 'metrics are not served')
+COMPONENT_RESTARTED = _event(1101, logging.WARNING, 'part failed and is restarted')
+COMPONENT_GAVE_UP = _event(1102, logging.ERROR, 'part failed too often')
+METRICS_NOT_SERVED = _event(1103, logging.ERROR, 'metrics are not served')
 STATE_RECOVERED = _event(2001, logging.INFO, 'control state recovered')
-VERSION_IN_FORCE = _event(2002, logging.INFO, 'configuration version in force')
+CONFIGURATION_APPLIED = _event(2002, logging.INFO, 'configuration version in force')
 LOG_UNREACHABLE = _event(2003, logging.WARNING, 'control log not reachable')
 LOG_REACHABLE = _event(2004, logging.INFO, 'control log reachable again')
 RECORD_REJECTED = _event(2005, logging.INFO, 'record rejected')
 HISTORY_LOST = _event(2006, logging.ERROR, 'control log lost records that are needed')
 LEASE_TAKEN = _event(2101, logging.INFO, 'lease taken')
 LEASE_LOST = _event(2102, logging.WARNING, 'lease lost')
-ORDER_GIVEN = _event(2201, logging.INFO, 'order given')
+ORDER_ISSUED = _event(2201, logging.INFO, 'order given')
 ORDER_STARTED = _event(2202, logging.INFO, 'order started, draining')
 ORDER_DONE = _event(2203, logging.INFO, 'order done')
 ORDER_REFUSED = _event(2204, logging.WARNING, 'order refused by the upstream')
-HALF_SWITCHED = _event(2205, logging.WARNING, 'upstream found in a state that no order asked for')
+UNEXPECTED_UPSTREAM_STATE = _event(2205, logging.WARNING, 'upstream found in a state that no order asked for')
 SLOT_CLAIMED = _event(2301, logging.INFO, 'slot claimed')
-RUNNER_LOST = _event(3001, logging.WARNING, 'runner gives no sign of life')
-RUNNER_BACK = _event(3002, logging.INFO, 'runner answers again')
+RUNNER_DECLARED_DEAD = _event(3001, logging.WARNING, 'runner gives no sign of life')
+RUNNER_RECOVERED = _event(3002, logging.INFO, 'runner answers again')
 ATTEMPT_RESUMED = _event(3101, logging.INFO, 'attempt resumed on a new connection')
 ATTEMPT_BROKE = _event(3103, logging.ERROR, 'attempt broke on an unexpected error')
 REQUEST_ENDED = _event(3102, logging.DEBUG, 'request ended')
 ANSWER_ENDED = _event(3201, logging.INFO, 'request served')
 REQUEST_REFUSED = _event(3208, logging.INFO, 'request refused, engines are too busy')
-REQUEST_TURNED_AWAY = _event(3209, logging.INFO, 'request turned away, this instance is stopping')
+REQUEST_REFUSED_STOPPING = _event(3209, logging.INFO, 'request turned away, this instance is stopping')
 REQUEST_REJECTED = _event(3202, logging.INFO, 'malformed request rejected')
-CALLER_LEFT = _event(3203, logging.INFO, 'caller left before its answer was whole')
+CALLER_DISCONNECTED = _event(3203, logging.INFO, 'caller left before its answer was whole')
 CONNECTION_BROKE = _event(3204, logging.ERROR, 'connection ended by an unexpected error')
 ATTEMPT_ENDED = _event(3205, logging.INFO, 'attempt ended without a whole answer')
 PREFILL_FAILED = _event(3206, logging.INFO, 'prompt could not be read apart')
-HANDLE_LEFT = _event(3207, logging.INFO, 'memory at a runner was left to lapse')
+HANDLE_NOT_FREED = _event(3207, logging.INFO, 'memory at a runner was left to lapse')
 RUNNER_ENDED = _event(3210, logging.INFO, 'runner ended under a request')
-TRIAL_BEGUN = _event(3211, logging.INFO, 'request is sent alone, runners have ended under it')
-SUSPECT_SERVED = _event(3212, logging.INFO, 'request answered under which a runner had ended, it is cleared')
+PROBE_STARTED = _event(3211, logging.INFO, 'request is sent alone, runners have ended under it')
+SUSPECT_CLEARED = _event(3212, logging.INFO, 'request answered under which a runner had ended, it is cleared')
 QUARANTINED = _event(3213, logging.WARNING, 'request ends its runners, it is not sent any more')
 QUARANTINE_ENDED = _event(3214, logging.WARNING, 'quarantine of a request is over')
-QUARANTINE_UNWRITTEN = _event(
+QUARANTINE_NOT_STORED = _event(
     3215, logging.WARNING, 'store did not take the record of a quarantine, it is written again'
 )
 REQUEST_DENIED = _event(3216, logging.INFO, "request denied, its key is no account's")
-SEND_WITHHELD = _event(3218, logging.INFO, 'nothing sent, the gate to the chosen runner has closed')
+SEND_NOT_ADMITTED = _event(3218, logging.INFO, 'nothing sent, the gate to the chosen runner has closed')
 RUNNER_JOINED = _event(3301, logging.INFO, 'runner registered')
-RUNNER_LEAVING = _event(3302, logging.INFO, 'runner leaves')
-RUNNER_GONE = _event(3303, logging.INFO, 'registration of a runner vanished')
+RUNNER_DRAINING = _event(3302, logging.INFO, 'runner leaves')
+RUNNER_UNREGISTERED = _event(3303, logging.INFO, 'registration of a runner vanished')
 RUNNER_REPLACED = _event(3305, logging.INFO, 'another incarnation has the address of a runner')
 RUNNER_EJECTED = _event(3304, logging.WARNING, 'runner left out for a while')
 RUNNER_RESTARTED = _event(3308, logging.INFO, 'runner started again; what was believed of it is dropped')
-LIMIT_NAMED = _event(3310, logging.INFO, 'runner names a limit')
+LIMIT_REPORTED = _event(3310, logging.INFO, 'runner names a limit')
 LIMIT_ENDED = _event(3311, logging.INFO, 'runner names no limit any more')
-WORD_UNREADABLE = _event(3312, logging.WARNING, 'word of a runner about itself does not decode, what was known counts')
-LIMIT_FORGOTTEN = _event(3313, logging.INFO, 'limit of a runner forgotten')
-LEAVING_SAID = _event(3314, logging.INFO, 'runner says that it leaves')
-REST_ASKED = _event(3315, logging.INFO, 'runner asks this instance for rest')
-REST_TOLD = _event(3317, logging.INFO, 'runner has asked another instance for rest')
-WORDS_FORGOTTEN = _event(3316, logging.INFO, 'what a runner said of itself is forgotten, it has started again')
-REST_REFUSED = _event(3219, logging.INFO, 'request refused, its runners rest')
-LIMIT_REFUSED = _event(3217, logging.INFO, 'request refused, its runners name limits')
-EARLIER_START = _event(3309, logging.INFO, 'late word about an earlier start of a runner ignored')
-INVENTORY_TAKEN = _event(3306, logging.INFO, 'engine told what it keeps')
+STATUS_HEADER_UNREADABLE = _event(
+    3312, logging.WARNING, 'word of a runner about itself does not decode, what was known counts'
+)
+LIMIT_DROPPED = _event(3313, logging.INFO, 'limit of a runner forgotten')
+DRAINING_REPORTED = _event(3314, logging.INFO, 'runner says that it leaves')
+BACK_OFF_REQUESTED = _event(3315, logging.INFO, 'runner asks this instance for rest')
+PEER_BACK_OFF_REPORTED = _event(3317, logging.INFO, 'runner has asked another instance for rest')
+RUNNER_STATUS_DROPPED = _event(3316, logging.INFO, 'what a runner said of itself is forgotten, it has started again')
+REQUEST_REFUSED_BACK_OFF = _event(3219, logging.INFO, 'request refused, its runners rest')
+REQUEST_REFUSED_LIMIT = _event(3217, logging.INFO, 'request refused, its runners name limits')
+STALE_INCARNATION_IGNORED = _event(3309, logging.INFO, 'late word about an earlier start of a runner ignored')
+INVENTORY_LOADED = _event(3306, logging.INFO, 'engine told what it keeps')
 INVENTORY_FAILED = _event(3307, logging.INFO, 'engine did not tell what it keeps')
 RECORD_UNREADABLE = _event(2007, logging.ERROR, 'record in the store does not decode')
 STORE_UNREACHABLE = _event(2008, logging.WARNING, 'store not reachable')
 STORE_REACHABLE = _event(2009, logging.INFO, 'store reachable again')
-STORE_WENT_BACK = _event(2011, logging.WARNING, 'store came back from an older copy; what it lost is written again')
+STORE_ROLLED_BACK = _event(2011, logging.WARNING, 'store came back from an older copy; what it lost is written again')
 PEER_CONFIGURATION = _event(2012, logging.INFO, 'peer gave its configuration')
 PEER_CONFIGURATION_FAILED = _event(2013, logging.WARNING, 'peer did not give its configuration')
-REGISTER_FAILED = _event(2010, logging.WARNING, 'registration with the store failed')
+REGISTRATION_FAILED = _event(2010, logging.WARNING, 'registration with the store failed')
 DUTY_TAKEN = _event(2401, logging.INFO, 'duty taken')
-DUTY_LEFT = _event(2402, logging.INFO, 'duty left')
+DUTY_RELEASED = _event(2402, logging.INFO, 'duty left')
 USAGE_DECIDED = _event(2403, logging.INFO, 'use of a window decided')
 USAGE_REPORTED = _event(2404, logging.INFO, 'use of a window reported')
-USAGE_UNREPORTED = _event(2405, logging.WARNING, 'report on a window was not taken')
-USAGE_MISSED = _event(2406, logging.ERROR, 'use of a window is not reported, it is too late')
+USAGE_REPORT_FAILED = _event(2405, logging.WARNING, 'report on a window was not taken')
+USAGE_REPORT_TOO_LATE = _event(2406, logging.ERROR, 'use of a window is not reported, it is too late')
 DUTY_STORE_FAILED = _event(2407, logging.WARNING, 'store did not take or give the record of a duty')
 SETTINGS_RELOADED = _event(1004, logging.INFO, 'settings read again')
 SETTINGS_REFUSED = _event(1005, logging.ERROR, 'changed settings refused, the old ones stay')
 PEER_UNREACHABLE = _event(3401, logging.INFO, 'peer not reached')
-ENTRY_LOST = _event(3403, logging.WARNING, 'entry not heard for long, its record is dropped')
-ENTRY_DROPPED = _event(3404, logging.WARNING, 'record of this entry was dropped, it registers again')
-NOTICE_DROPPED = _event(3405, logging.WARNING, 'too much to tell peers, a notice is dropped')
+PEER_DECLARED_DEAD = _event(3403, logging.WARNING, 'entry not heard for long, its record is dropped')
+OWN_RECORD_DROPPED = _event(3404, logging.WARNING, 'record of this entry was dropped, it registers again')
+UPDATE_DROPPED = _event(3405, logging.WARNING, 'too much to tell peers, a notice is dropped')
 DATAGRAM_UNREADABLE = _event(3402, logging.WARNING, 'datagram of a peer does not decode')
 
 
@@ -134,7 +136,7 @@
 
 
 def log_event(event: Event, **fields: Any) -> None:
-    """Log one line for ``event`` with ``fields``."""
+    """Log one line for ``event`` with ``field_types``."""
     _logger.log(event.level, event.text, extra={'event': event.number, **fields})
 
 
@@ -142,7 +144,7 @@
     """Write log lines as JSON to standard output, each with the name ``process``."""
     handler = logging.StreamHandler(NonBlockingOutput(sys.stdout.fileno()))  # noqa: WPS110
     handler.terminator = ''
-    handler.addFilter(RateLimit())
+    handler.addFilter(LogRateLimit())
     handler.setFormatter(
         _LineFormatter('{asctime}{levelname}{message}', style='{', static_fields={'process': process}),
     )
--- a/packages/sesamepoint/src/sesamepoint/front/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/front/account_admission.py
@@ -6,8 +6,8 @@
 
 from sesamepoint_core.serving.accounts import Admitted, Denied, admit
 from sesamepoint import events
-from sesamepoint.front.cause import Cause
-from sesamepoint.platform.headers import attributed
+from sesamepoint.front.failure_cause import FailureCause
+from sesamepoint.platform.headers import with_account
 
 if TYPE_CHECKING:
     from sesamepoint_core.serving.accounts import Admission, KeyFault
@@ -23,14 +23,14 @@
     return admit(cfg.accounts, req.key, public=route.public)
 
 
-def attribute(job: Job, cfg: Configuration, admission: Admitted) -> None:
+def assign_account(job: Job, cfg: Configuration, admission: Admitted) -> None:
     """Set the account that all sends of ``job`` name; its key is not sent."""
     if cfg.accounts is not None:
-        job.standing.account = admission.account
-        job.req = attributed(job.req, admission.account)
+        job.access.account = admission.account
+        job.req = with_account(job.req, admission.account)
 
 
-def admit_again(job: Job, cfg: Configuration) -> None:
+def recheck_admission(job: Job, cfg: Configuration) -> None:
     """Check the admission of a waiting request again after a change of configuration.
 
     Its key may have been revoked, or given to another account, while it waits
@@ -39,17 +39,17 @@
     """
     admission = admission_of(cfg, job.route, job.req)
     if isinstance(admission, Denied):
-        job.standing.denied = admission.fault
-        if not job.sends and not job.reply.begun:
-            job.standing.scope.cancel()
+        job.access.denial = admission.fault
+        if not job.sends and not job.reply.started:
+            job.access.scope.cancel()
     elif not job.sends:
-        attribute(job, cfg, admission)
+        assign_account(job, cfg, admission)
 
 
 async def deny(job: Job) -> None:
     """Deny an accepted request whose key no longer belongs to an account."""
-    job.notes.cause = Cause.denied
-    fault = job.standing.denied
+    job.trace.cause = FailureCause.denied
+    fault = job.access.denial
     if fault:
         log_denied(job.req, job.route, fault)
         await job.reply.deny(fault)
@@ -60,4 +60,4 @@
     events.log_event(events.REQUEST_DENIED, request=req.request_id, caller=req.caller, route=route.name, cause=fault)
 
 
-__all__ = ('admission_of', 'admit_again', 'attribute', 'deny', 'log_denied')
+__all__ = ('admission_of', 'assign_account', 'deny', 'log_denied', 'recheck_admission')
--- a/packages/sesamepoint/src/sesamepoint/front/results.py
+++ b/packages/sesamepoint/src/sesamepoint/front/attempt_results.py
@@ -42,7 +42,7 @@
 
     tag: ClassVar[str] = 'rejected'
     status: int
-    replaced: bool = False
+    runner_replaced: bool = False
 
 
 @dataclass(frozen=True)
@@ -64,7 +64,7 @@
 
     tag: ClassVar[str] = 'broken'
     cause: str
-    ended: bool = False
+    runner_ended: bool = False
 
 
 @dataclass(frozen=True)
--- a/packages/sesamepoint/src/sesamepoint/front/backlog.py
+++ b/packages/sesamepoint/src/sesamepoint/front/backlog.py
@@ -9,7 +9,7 @@
 
 # A peer's report of its queued work is valid for this long, in seconds. Instances with
 # queued work report it every 50 ms; one that has died must not be counted.
-BELIEVED_S = 0.5
+REPORT_TTL_S = 0.5
 
 
 class Need(enum.Enum):
@@ -20,14 +20,14 @@
     slot = 'slot'
 
 
-class Line(NamedTuple):
+class QueueKey(NamedTuple):
     """Identity of a queue: requests of one service that wait for the same resource."""
 
     service: str
     need: Need
 
 
-class Held(NamedTuple):
+class QueuedWork(NamedTuple):
     """Work that one instance has in one queue, of routes with one target.
 
     Parameters
@@ -36,18 +36,18 @@
         Seconds after which an answer is late.
     """
 
-    line: Line
+    queue: QueueKey
     target_s: float
     # Requests that can still be on time, and the engine seconds that they take.
-    requests: int
-    work_s: float
+    timely_requests: int
+    timely_work_s: float
     # Engine seconds that the late requests take.
-    late_s: float = 0
+    late_work_s: float = 0
 
 
-class _Told(NamedTuple):
-    at: float
-    held: tuple[Held, ...]
+class _PeerReport(NamedTuple):
+    received_at: float
+    queued: tuple[QueuedWork, ...]
 
 
 class Backlog:
@@ -55,27 +55,27 @@
 
     def __init__(self) -> None:
         """Start with empty queues."""
-        self.own: tuple[Held, ...] = ()
-        self._peers: dict[str, _Told] = {}
+        self.own: tuple[QueuedWork, ...] = ()
+        self._peers: dict[str, _PeerReport] = {}
 
-    def heard(self, entry: str, held: tuple[Held, ...]) -> None:
+    def update_peer(self, instance_id: str, queued: tuple[QueuedWork, ...]) -> None:
         """Replace the report of a peer on its queued work."""
-        self._peers[entry] = _Told(trio.current_time(), held)
+        self._peers[instance_id] = _PeerReport(trio.current_time(), queued)
 
-    def forget(self, entry: str) -> None:
+    def forget_peer(self, instance_id: str) -> None:
         """Drop the report of a peer that has left."""
-        self._peers.pop(entry, None)
+        self._peers.pop(instance_id, None)
 
-    def requests(self, line: Line, share: float = 1) -> float:
+    def count_requests(self, queue: QueueKey, share: float = 1) -> float:
         """Return how many requests in a queue can be on time; those at peers count by ``share``."""
-        own = sum(work.requests for work in self.own if work.line == line)
-        return own + share * sum(work.requests for work in self.at_peers(line))
+        own = sum(work.timely_requests for work in self.own if work.queue == queue)
+        return own + share * sum(work.timely_requests for work in self.at_peers(queue))
 
-    def at_peers(self, line: Line) -> list[Held]:
+    def at_peers(self, queue: QueueKey) -> list[QueuedWork]:
         """Return the work that peers have in a queue, by their valid reports."""
-        oldest = trio.current_time() - BELIEVED_S
-        valid = (report.held for report in self._peers.values() if report.at >= oldest)
-        return [work for reported in valid for work in reported if work.line == line]
+        oldest = trio.current_time() - REPORT_TTL_S
+        valid = (report.queued for report in self._peers.values() if report.received_at >= oldest)
+        return [work for reported in valid for work in reported if work.queue == queue]
 
 
-__all__ = ('Backlog', 'Held', 'Line', 'Need')
+__all__ = ('Backlog', 'Need', 'QueueKey', 'QueuedWork')
--- a/packages/sesamepoint/src/sesamepoint/front/clocks.py
+++ b/packages/sesamepoint/src/sesamepoint/front/clocks.py
@@ -7,9 +7,9 @@
 
 # A shift of the time of day against the steady clock beyond this many seconds is a
 # jump; a smaller one is an adjustment.
-JUMP_S = 0.2
+MIN_JUMP_S = 0.2
 # A jump that has lasted for more than this many seconds is taken over.
-BELIEVED_S = 60.0
+MAX_JUMP_AGE_S = 60.0
 
 
 class Clock(Protocol):
@@ -34,7 +34,7 @@
         return time.time()
 
 
-class TrueTime:
+class SmoothedTime:
     """Time of day without short jumps.
 
     The time of day may jump by seconds and back. Taken as it is, a jump moved many
@@ -55,14 +55,14 @@
         """Return the seconds since 1970; needs regular calls to follow changes of the time of day."""
         now = self._clock.steady()
         offset_s = self._clock.time_of_day() - now
-        if abs(offset_s - self._offset_s) <= JUMP_S:
+        if abs(offset_s - self._offset_s) <= MIN_JUMP_S:
             self._jumped_at = None
             self._offset_s = offset_s
         elif self._jumped_at is None:
             self._jumped_at = now
-        elif now - self._jumped_at > BELIEVED_S:
+        elif now - self._jumped_at > MAX_JUMP_AGE_S:
             self._offset_s = offset_s
         return now + self._offset_s
 
 
-__all__ = ('Clock', 'SystemClock', 'TrueTime')
+__all__ = ('Clock', 'SmoothedTime', 'SystemClock')
--- a/packages/sesamepoint/src/sesamepoint/front/pool.py
+++ b/packages/sesamepoint/src/sesamepoint/front/connection_pool.py
@@ -19,19 +19,19 @@
 # Longest idle time of a connection that is used again, in seconds, if the runner announces
 # no keep-alive time. A request sent while the runner closes the connection may or may not
 # have run.
-UNTOLD_IDLE_S = 4.0
+DEFAULT_IDLE_S = 4.0
 # Share of an announced keep-alive time that is used, for the same reason: of 10 s it
 # leaves 2 s for a runner or an instance that is slow to notice the end.
-IDLE_SHARE = 0.8
+MAX_IDLE_SHARE = 0.8
 # Within a zone connecting takes under 1 ms, between zones 3 ms; a lost packet is sent
 # again after 0.2 s.
-CONNECT_S = 0.45
+CONNECT_TIMEOUT_S = 0.45
 # A runner that no longer listens refuses a connection within one round trip. No reply says
 # nothing about the runner, and callers wait for their retry meanwhile, so the limit is short.
-LOOK_S = 0.1
+PROBE_TIMEOUT_S = 0.1
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections to one runner."""
 
     def __init__(self, address: Address, network: Network, on_head: OnHead | None = None) -> None:
@@ -44,7 +44,7 @@
         self._network = network
         self._idle: list[ClientConn] = []
 
-    async def take(self, admit: Callable[[], None]) -> ClientConn:
+    async def acquire(self, admit: Callable[[], None]) -> ClientConn:
         """Return an idle or new connection, which calls ``admit`` before it sends anything.
 
         Raises
@@ -55,24 +55,24 @@
         now = trio.current_time()
         while self._idle:
             conn = self._idle.pop()
-            if _fresh(conn, now) and conn.quiet():
+            if _reusable(conn, now) and conn.is_idle():
                 conn.admit = admit
                 return conn
             conn.close()
-        conn = await self._connect(CONNECT_S)
+        conn = await self._connect(CONNECT_TIMEOUT_S)
         conn.admit = admit
         return conn
 
-    async def refuses(self) -> bool:
+    async def probe_refused(self) -> bool:
         """Tell whether the address refuses a new connection; one that succeeds goes into the pool."""
         try:
-            conn = await self._connect(LOOK_S)
+            conn = await self._connect(PROBE_TIMEOUT_S)
         except ConnectFailedError as exc:
             return exc.refused
         self._idle.append(conn)
         return False
 
-    def give_back(self, conn: ClientConn) -> None:
+    def release(self, conn: ClientConn) -> None:
         """Return ``conn`` to the pool if it can carry another request, else close it."""
         # An idle connection must not keep its last request in memory.
         conn.admit = None
@@ -92,9 +92,9 @@
         return conn
 
 
-def _fresh(conn: ClientConn, now: float) -> bool:
-    allowed_s = UNTOLD_IDLE_S if conn.keep_s is None else conn.keep_s * IDLE_SHARE
+def _reusable(conn: ClientConn, now: float) -> bool:
+    allowed_s = DEFAULT_IDLE_S if conn.keep_alive_s is None else conn.keep_alive_s * MAX_IDLE_SHARE
     return now - conn.idle_since < allowed_s
 
 
-__all__ = ('Pool',)
+__all__ = ('ConnectionPool',)
--- a/packages/sesamepoint/src/sesamepoint/front/content.py
+++ b/packages/sesamepoint/src/sesamepoint/front/content_id.py
@@ -10,7 +10,7 @@
 
 # Bytes of a content id: two of a million remembered requests share an id in about
 # one of ten million such sets.
-ID_BYTES = 8
+CONTENT_ID_BYTES = 8
 
 
 def content_id(req: FrontRequest) -> str:
@@ -20,9 +20,9 @@
     host, target, body and prompt stay the same. The digest covers the repr of the
     prompt, so renaming its classes or fields would change the ids.
     """
-    digest = blake2b(digest_size=ID_BYTES)
+    digest = blake2b(digest_size=CONTENT_ID_BYTES)
     for text in (req.head.method, req.host.encode(), req.head.target, req.body):
-        digest.update(len(text).to_bytes(ID_BYTES, 'big'))
+        digest.update(len(text).to_bytes(CONTENT_ID_BYTES, 'big'))
         digest.update(text)
     if req.prompt is not None:
         digest.update(repr(req.prompt).encode())
--- a/packages/sesamepoint/src/sesamepoint/front/dispatch.py
+++ b/packages/sesamepoint/src/sesamepoint/front/dispatch.py
@@ -8,29 +8,29 @@
 
 from sesamepoint_core.admit.window_budget import WindowBudget
 from sesamepoint_core.serving.accounts import Denied
-from sesamepoint.front.admission import admission_of, admit_again, attribute, deny, log_denied
-from sesamepoint.front.cause import Cause
-from sesamepoint.front.conclusion import cause_of, log_end
-from sesamepoint.front.job import MIN_STREAM_PATIENCE_S, SOON_S, Job, OnRun
+from sesamepoint.front.account_admission import admission_of, assign_account, deny, log_denied, recheck_admission
+from sesamepoint.front.failure_cause import FailureCause
+from sesamepoint.front.request_end import failure_cause_of, log_request_end
+from sesamepoint.front.job import MIN_FIRST_EVENT_WAIT_S, RETRY_SOON_S, Job, RunStartedCallback
 from sesamepoint.front.metrics import FrontMetrics
-from sesamepoint.front.return_time import hold_s, when_unknown_s
-from sesamepoint.front.results import Relayed, RunFailed, Withheld
-from sesamepoint.front.tries import PATIENCE_FACTOR, attempt, may_go_on, target_for
-from sesamepoint.front.usual_deadlines import UsualDeadlines
-from sesamepoint.platform.headers import returned, signed
+from sesamepoint.front.retry_after import default_retry_after_s, max_hold_s
+from sesamepoint.front.attempt_results import Relayed, RunFailed, Withheld
+from sesamepoint.front.retries import SILENCE_TIMEOUT_FACTOR, may_retry, run_attempt, target_for
+from sesamepoint.front.retry_detection import RetryDetector
+from sesamepoint.platform.headers import is_signed, response_headers
 
 if TYPE_CHECKING:
     from random import Random
 
     from sesamepoint_core.serving.routes import Configuration, Route
 
+    from sesamepoint.front.attempt_results import AttemptResult
+    from sesamepoint.front.dispatch_components import DispatchComponents
     from sesamepoint.front.engine_runs import EngineRuns
-    from sesamepoint.front.engine_tools import EngineTools
-    from sesamepoint.front.member import Member
+    from sesamepoint.front.fleet_member import Member
     from sesamepoint.front.quarantine import Quarantine
     from sesamepoint.front.reply import Reply
     from sesamepoint.front.request import FrontRequest
-    from sesamepoint.front.results import AttemptResult
 
 NOT_FOUND = 404
 BAD_GATEWAY = 502
@@ -39,32 +39,32 @@
 
 # Share of the retry budget that is used. The rest is a margin, because those who
 # check the budget count arrivals over windows with other bounds.
-BUDGET_SHARE = 0.8
+RETRY_BUDGET_SHARE = 0.8
 
 
-class Budgets:
+class RetryBudgets:
     """Retry budgets, one for each service; each is a share of the budget of all instances."""
 
     def __init__(self, ratio: float, window_s: float) -> None:
         """Allow ``ratio`` of the requests of each window; the reserve is 0 until the number of instances is known."""
-        self._ratio = BUDGET_SHARE * ratio
+        self._ratio = RETRY_BUDGET_SHARE * ratio
         self._reserve: float = 0
         self._window_s = window_s
-        self._of_service: dict[str, WindowBudget] = {}
+        self._by_service: dict[str, WindowBudget] = {}
 
     def earn(self, service: str) -> WindowBudget:
         """Count a request for its service and return the budget of the service."""
-        budget = self._of_service.get(service)
+        budget = self._by_service.get(service)
         if budget is None:
             budget = WindowBudget(self._ratio, self._reserve, self._window_s, trio.current_time)
-            self._of_service[service] = budget
+            self._by_service[service] = budget
         budget.earn()
         return budget
 
-    def share(self, entries: int, reserve: float) -> None:
+    def split_reserve(self, instances: int, reserve: float) -> None:
         """Split ``reserve`` evenly between all instances."""
-        self._reserve = BUDGET_SHARE * reserve / max(entries, 1)
-        for budget in self._of_service.values():
+        self._reserve = RETRY_BUDGET_SHARE * reserve / max(instances, 1)
+        for budget in self._by_service.values():
             budget.resize(self._reserve)
 
 
@@ -72,39 +72,44 @@
     """Serves requests according to the configuration in force."""
 
     def __init__(
-        self, tools: EngineTools, engine_runs: EngineRuns, quarantine: Quarantine, budgets: Budgets, rng: Random
+        self,
+        components: DispatchComponents,
+        engine_runs: EngineRuns,
+        quarantine: Quarantine,
+        budgets: RetryBudgets,
+        rng: Random,
     ) -> None:
         """Start without a configuration."""
         self.metrics = FrontMetrics()
         self.configuration: Configuration | None = None
         self._configured = trio.Event()
-        self._chooser = tools.chooser
-        self._limits = tools.limits
-        self._places = tools.places
+        self._selector = components.selector
+        self._runner_limits = components.limits
+        self._permit_queue = components.permit_queue
         self._engine_runs = engine_runs
         self._budgets = budgets
         self._quarantine = quarantine
         self._rng = rng
-        self._usual = UsualDeadlines()
-        self._under_way: set[Job] = set()
+        self._usual_deadlines = RetryDetector()
+        self._active: set[Job] = set()
         # Called when the first runner has begun to run a request.
-        self.on_run: OnRun | None = None
+        self.on_run_started: RunStartedCallback | None = None
 
     def configure(self, cfg: Configuration) -> None:
         """Apply ``cfg`` to new requests, and check the accounts of those in progress again."""
         self.configuration = cfg
-        self._usual.forget_but(frozenset(route.name for routes in cfg.routes.values() for route in routes))
+        self._usual_deadlines.keep_only(frozenset(route.name for routes in cfg.routes.values() for route in routes))
         self._configured.set()
-        for job in tuple(self._under_way):
-            admit_again(job, cfg)
+        for job in tuple(self._active):
+            recheck_admission(job, cfg)
 
     async def serve(self, req: FrontRequest, reply: Reply) -> None:
         """Answer ``req``; if the reply is left unfinished, the connection must be closed."""
-        with trio.move_on_after(hold_s(req.deadline_s, MIN_STREAM_PATIENCE_S)):
+        with trio.move_on_after(max_hold_s(req.deadline_s, MIN_FIRST_EVENT_WAIT_S)):
             await self._configured.wait()
         cfg = self.configuration
         if cfg is None:
-            wait_s = when_unknown_s(req.left_s(trio.current_time()))
+            wait_s = default_retry_after_s(req.left_s(trio.current_time()))
             return await reply.refuse(UNAVAILABLE, 'no configuration yet', wait_s)
         route = cfg.find(req.host, req.path)
         if route is None:
@@ -114,98 +119,98 @@
             self.metrics.count_denied(admission.fault)
             log_denied(req, route, admission.fault)
             return await reply.deny(admission.fault)
-        caller_retry = self._usual.returned(route.name, req.deadline_s, req.arrived)
-        job = Job(req, route, self._pick_service(route), reply, returned=caller_retry)
-        attribute(job, cfg, admission)
-        job.standing.on_run = self.on_run
-        self._under_way.add(job)
+        caller_retry = self._usual_deadlines.is_retry(route.name, req.deadline_s, req.arrived_at)
+        job = Job(req, route, self._pick_service(route), reply, caller_retry=caller_retry)
+        assign_account(job, cfg, admission)
+        job.access.on_run_started = self.on_run_started
+        self._active.add(job)
         try:
-            if not await self._serve_in_time(job, cfg):
-                await self._give_up(job)
+            if not await self._serve_until_deadline(job, cfg):
+                await self._reply_after_deadline(job)
         finally:
             # Also runs if the caller has disconnected and this task is cancelled.
             self._note_end(job, cfg)
 
     def _note_end(self, job: Job, cfg: Configuration) -> None:
-        self._under_way.discard(job)
-        took_s = trio.current_time() - job.req.arrived
-        if not job.notes.cause and (job.reply.unfinished or not job.reply.begun):
-            job.notes.cause = Cause.caller_left
-        self.metrics.observe(job, took_s)
-        log_end(job, cfg, took_s)
-
-    async def _serve_in_time(self, job: Job, cfg: Configuration) -> bool:
-        job.standing.scope.deadline = job.deadline
-        with job.standing.scope:
-            await self._conclude(job, await self._serve(job, cfg))
+        self._active.discard(job)
+        took_s = trio.current_time() - job.req.arrived_at
+        if not job.trace.cause and (job.reply.unfinished or not job.reply.started):
+            job.trace.cause = FailureCause.caller_left
+        self.metrics.count_request_end(job, took_s)
+        log_request_end(job, cfg, took_s)
+
+    async def _serve_until_deadline(self, job: Job, cfg: Configuration) -> bool:
+        job.access.scope.deadline = job.deadline
+        with job.access.scope:
+            await self._finish_reply(job, await self._attempt_until_done(job, cfg))
             return True
         return False
 
-    async def _give_up(self, job: Job) -> None:
-        if job.reply.begun:
-            job.notes.cause = Cause.answer_too_long
-        elif job.maybe_run:
-            job.notes.cause = Cause.no_answer_in_time
+    async def _reply_after_deadline(self, job: Job) -> None:
+        if job.reply.started:
+            job.trace.cause = FailureCause.answer_too_long
+        elif job.may_have_run:
+            job.trace.cause = FailureCause.no_answer_in_time
             await job.reply.refuse(GATEWAY_TIMEOUT, 'no answer in time; it may have run')
-        elif job.standing.denied:
+        elif job.access.denial:
             await deny(job)
         else:
-            job.notes.cause = Cause.not_run_in_time
-            await job.reply.refuse(UNAVAILABLE, 'no runner took it in time; it has not run', SOON_S)
+            job.trace.cause = FailureCause.not_run_in_time
+            await job.reply.refuse(UNAVAILABLE, 'no runner took it in time; it has not run', RETRY_SOON_S)
 
-    async def _serve(self, job: Job, cfg: Configuration) -> AttemptResult | None:
+    async def _attempt_until_done(self, job: Job, cfg: Configuration) -> AttemptResult | None:
         """Attempt the request until it is served or no further attempt is allowed."""
         if self._quarantine.refuses(job):
             return None
-        with trio.move_on_after(hold_s(job.caller_left_s, job.first_left_s)):
-            if not await self._chooser.until_any(job.service):
-                job.notes.held_back = Cause.leaving
-                job.note_no_runner()
+        with trio.move_on_after(max_hold_s(job.caller_left_s, job.first_output_left_s)):
+            if not await self._selector.wait_for_any(job.service):
+                job.trace.unsent_cause = FailureCause.draining
+                job.set_no_runner_retry()
                 return None
         budget = self._budgets.earn(job.service)
-        self._places.note_request(job.service)
-        outcome = await self._try(job, cfg, budget)
-        while outcome is not None and may_go_on(job, outcome):
+        self._permit_queue.note_request(job.service)
+        outcome = await self._attempt_once(job, cfg, budget)
+        while outcome is not None and may_retry(job, outcome):
             if job.sends and not isinstance(outcome, Withheld) and not budget.spend():
                 return outcome
-            next_outcome = await self._try(job, cfg, budget)
+            next_outcome = await self._attempt_once(job, cfg, budget)
             if next_outcome is None:
                 return outcome
             outcome = next_outcome
         return outcome
 
-    async def _try(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
-        if not await self._quarantine.admit(job, self._chooser.for_trial):
+    async def _attempt_once(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
+        if not await self._quarantine.admit(job, self._selector.probe_runner):
             return None
         outcome: AttemptResult | None = None
         try:
-            outcome = await self._send(job, cfg, budget)
+            outcome = await self._choose_and_send(job, cfg, budget)
         finally:
-            self._quarantine.learn(job, outcome)
-            self._limits.give_back(job)
+            self._quarantine.record_attempt(job, outcome)
+            self._runner_limits.give_back(job)
         if outcome is not None and not isinstance(outcome, Relayed):
-            self.metrics.note_broken(job.service, outcome.tag)
+            self.metrics.count_broken_send(job.service, outcome.tag)
         return outcome
 
-    async def _send(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
-        if job.standing.denied:
+    async def _choose_and_send(self, job: Job, cfg: Configuration, budget: WindowBudget) -> AttemptResult | None:
+        if job.access.denial:
             return None
         if job.req.prompt is not None:
             return await self._engine_runs.attempt(job, job.req.prompt, cfg, budget)
-        member = await self._plain(job)
+        member = await self._choose_plain_runner(job)
         if member is None:
-            if not job.notes.refused:
-                job.note_no_runner()
+            if not job.trace.refused:
+                job.set_no_runner_retry()
             return None
-        return await attempt(job, target_for(job, member, job.route.target_s / PATIENCE_FACTOR))
+        return await run_attempt(job, target_for(job, member, job.route.target_s / SILENCE_TIMEOUT_FACTOR))
 
-    async def _plain(self, job: Job) -> Member | None:
+    async def _choose_plain_runner(self, job: Job) -> Member | None:
         """Wait for a runner of a plain service that may get the request now; None if there is none in time."""
         while True:
-            member = self._chooser.plain(job)
-            if member is not None and self._limits.set_aside(member, job):
+            member = self._selector.plain_runner(job)
+            if member is not None and self._runner_limits.reserve_if_limited(member, job):
                 return member
-            if member is None and not await self._places.wait(job):
+            if member is None and not await self._permit_queue.wait(job):
                 return None
 
     def _pick_service(self, route: Route) -> str:
@@ -214,20 +219,20 @@
         weights = [share.weight for share in route.shares]
         return self._rng.choices(route.shares, weights)[0].service
 
-    async def _conclude(self, job: Job, found: AttemptResult | None) -> None:
-        job.notes.cause = cause_of(job, found)
-        if job.reply.begun:
+    async def _finish_reply(self, job: Job, outcome: AttemptResult | None) -> None:
+        job.trace.cause = failure_cause_of(job, outcome)
+        if job.reply.started:
             return
-        if isinstance(found, RunFailed) and signed(found.head):
-            await job.reply.whole(found.head.status, returned(found.head), found.body)
-        elif job.maybe_run:
+        if isinstance(outcome, RunFailed) and is_signed(outcome.head):
+            await job.reply.send_whole(outcome.head.status, response_headers(outcome.head), outcome.body)
+        elif job.may_have_run:
             await job.reply.refuse(BAD_GATEWAY, 'its runner broke off; it may have run')
-        elif job.standing.denied:
+        elif job.access.denial:
             await deny(job)
-        elif job.notes.held_back is Cause.quarantined:
+        elif job.trace.unsent_cause is FailureCause.quarantined:
             await job.reply.refuse(UNAVAILABLE, 'its runners end under it; it has not run', job.retry_after_s)
         else:
             await job.reply.refuse(UNAVAILABLE, 'no runner can take it now; it has not run', job.retry_after_s)
 
 
-__all__ = ('Budgets', 'Dispatcher')
+__all__ = ('Dispatcher', 'RetryBudgets')
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/dispatch_components.py
@@ -0,0 +1,63 @@
+"""Components that the dispatcher uses to choose, queue and send requests."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from sesamepoint.front.engine_queue import EngineQueue
+from sesamepoint.front.permit_queue import PermitQueue
+from sesamepoint.front.prefill import HandleReclaimer
+from sesamepoint.front.runner_selection import RunnerSelector
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from sesamepoint.front.engine_sends import SendTracker
+    from sesamepoint.front.engine_subset import EngineSubset
+    from sesamepoint.front.runner_limits import RunnerLimits
+    from sesamepoint.front.runner_status import RunnerStatuses
+
+
+class DispatchComponents(NamedTuple):
+    """Components of one front that choose runners, queue requests and announce sends."""
+
+    selector: RunnerSelector
+    sends: SendTracker
+    reclaimer: HandleReclaimer
+    engine_queue: EngineQueue
+    limits: RunnerLimits
+    permit_queue: PermitQueue
+
+    @classmethod
+    def build(
+        cls,
+        availability_zone: str,
+        subset: EngineSubset,
+        sends: SendTracker,
+        runner_statuses: RunnerStatuses,
+        rng: Random,
+    ) -> DispatchComponents:
+        """Build the components.
+
+        Parameters
+        ----------
+        availability_zone
+            Zone of this instance.
+        sends
+            Record of the sends of all instances.
+        rng
+            Source of random delays.
+        """
+        chooser = RunnerSelector(subset, availability_zone, sends.backlog, runner_statuses.limits)
+        waiting = EngineQueue(chooser, sends, rng)
+        return cls(
+            chooser,
+            sends,
+            HandleReclaimer(),
+            waiting,
+            runner_statuses.limits,
+            PermitQueue(runner_statuses, chooser.eligible),
+        )
+
+
+__all__ = ('DispatchComponents',)
--- a/packages/sesamepoint/src/sesamepoint/front/duty_log.py
+++ b/packages/sesamepoint/src/sesamepoint/front/duty_log.py
@@ -8,12 +8,12 @@
 import msgspec
 import trio
 
-from sesamepoint_core.duty.lease import Holding, LogView
-from sesamepoint_core.duty.reports import Report
+from sesamepoint_core.duty.lease import LeaseRecord, LogView
+from sesamepoint_core.duty.report_schedule import Report
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint import events
-from sesamepoint.platform.names import DUTY_TOPIC, LEASE_KEY, REPORT_KEY
 from sesamepoint.platform.store import HistoryGoneError
+from sesamepoint.platform.wire_names import DUTY_TOPIC, LEASE_KEY, REPORT_KEY
 
 if TYPE_CHECKING:
     from sesamepoint_core.duty.lease import Lease
@@ -23,7 +23,7 @@
 _Kind = TypeVar('_Kind')
 
 
-class Appending(enum.Enum):
+class AppendOutcome(enum.Enum):
     """Outcome of an append; an unanswered record may be in the log, or get there later."""
 
     taken = 'taken'
@@ -44,52 +44,52 @@
         self._failing = False
         self._appending = trio.Lock()
 
-    async def look(self) -> bool:
+    async def refresh(self) -> bool:
         """Read the lease and the newest report; return False if the store did not answer."""
         try:
-            listing = await self._store.newest(DUTY_TOPIC)
+            listing = await self._store.read_newest(DUTY_TOPIC)
         except (PlatformUnavailableError, HistoryGoneError) as exc:
-            self._note_store(str(exc))
+            self._note_store_state(str(exc))
             return False
-        self._note_store('')
+        self._note_store_state('')
         texts = {record.key: record.text for record in listing.records}
-        self.report = _decoded(texts.get(REPORT_KEY), Report)
+        self.report = _decode(texts.get(REPORT_KEY), Report)
         old_fence = self._lease.fence
-        holding = _decoded(texts.get(LEASE_KEY), Holding)
-        self._lease.saw(LogView(listing.era, listing.end, holding), self._clock.steady())
+        holding = _decode(texts.get(LEASE_KEY), LeaseRecord)
+        self._lease.on_read(LogView(listing.epoch, listing.end, holding), self._clock.steady())
         if old_fence is not None and self._lease.fence is None:
             events.log_event(
-                events.DUTY_LEFT, fence=old_fence, holder=holding.holder if holding else '', era=listing.era
+                events.DUTY_RELEASED, fence=old_fence, holder=holding.holder if holding else '', era=listing.epoch
             )
         return True
 
-    async def append(self, key: str, text: bytes, holding: Holding | None = None) -> Appending:
+    async def append(self, key: str, text: bytes, holding: LeaseRecord | None = None) -> AppendOutcome:
         """Append a record at the known end of the log; an accepted record renews the lease."""
         async with self._appending:
             if holding is None and self._lease.fence is None:
                 # The lease was lost while this call waited; the record would be a claim.
-                return Appending.refused
-            own_holding = holding or self._lease.next_holding()
+                return AppendOutcome.refused
+            own_holding = holding or self._lease.next_record()
             sent_at = self._clock.steady()
             try:
-                answer = await self._store.put_at(DUTY_TOPIC, key, text, self._lease.end)
+                answer = await self._store.put_if_at(DUTY_TOPIC, key, text, self._lease.end)
             except (PlatformUnavailableError, HistoryGoneError) as exc:
-                self._note_store(str(exc))
-                return Appending.unanswered
-            self._note_store('')
-            if answer is None or answer.era != own_holding.era:
-                return Appending.refused
-            self._lease.appended(own_holding, answer.end, sent_at)
-            return Appending.taken
-
-    def _note_store(self, cause: str) -> None:
-        """Log a failure of the store, once until it answers again; an empty ``cause`` is an answer."""
+                self._note_store_state(str(exc))
+                return AppendOutcome.unanswered
+            self._note_store_state('')
+            if answer is None or answer.epoch != own_holding.epoch:
+                return AppendOutcome.refused
+            self._lease.on_appended(own_holding, answer.end, sent_at)
+            return AppendOutcome.taken
+
+    def _note_store_state(self, cause: str) -> None:
+        """Log a failure of the store, once until it answers again; an empty ``failure_cause`` is an answer."""
         if cause and not self._failing:
             events.log_event(events.DUTY_STORE_FAILED, cause=cause)
         self._failing = bool(cause)
 
 
-def _decoded(text: bytes | None, kind: type[_Kind]) -> _Kind | None:
+def _decode(text: bytes | None, kind: type[_Kind]) -> _Kind | None:
     """Decode a record of the duty; return None if it is missing or does not decode."""
     if not text:
         return None
@@ -100,4 +100,4 @@
     return None
 
 
-__all__ = ('Appending', 'DutyLog')
+__all__ = ('AppendOutcome', 'DutyLog')
--- a/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from sesamepoint_core.serving.paths import MEMORY_SHARE, EngineView, Path, Speeds, best_path
+from sesamepoint_core.serving.placement import MEMORY_SHARE, EngineView, Placement, Speeds, best_placement
 from sesamepoint_core.serving.runner import Stage
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from sesamepoint_core.serving.prompt import Prompt
-    from sesamepoint.front.member import Member
+    from sesamepoint.front.fleet_member import Member
 
 # Fewer tokens than this are prefilled faster than fetched: a fetch takes 25 ms, in
 # which current engines prefill 900 tokens and more.
@@ -38,25 +38,25 @@
         Whether the rate limit of the first engine has a permit now.
     """
 
-    path: Path
+    placement: Placement
     prefill: Member | None
     decode: Member
     # Engine from which the first engine can fetch prefix blocks that it lacks.
-    holder: Member | None
+    prefix_source: Member | None
     view: EngineView
     rank: int
     # Whether the decode engine has no free slot or memory.
-    crowded: bool
+    decode_full: bool
     speeds: Speeds
     admitted: bool = True
 
     @property
     def fetch_from(self) -> str:
         """Return the address from which the first engine fetches prefix blocks; empty if it fetches none."""
-        return str(self.holder.runner.address) if self.holder and self.view.fetch_tokens else ''
+        return str(self.prefix_source.runner.address) if self.prefix_source and self.view.fetch_tokens else ''
 
 
-class Seen(NamedTuple):
+class Candidate(NamedTuple):
     """A runner and the waits that its rate limit imposes on one request.
 
     Parameters
@@ -68,36 +68,38 @@
     member: Member
     permit_wait_s: float
     # Seconds from one permit of the rate limit to the next.
-    place_s: float
+    permit_interval_s: float
 
 
-def plan_for(prompt: Prompt, seen: Sequence[Seen], speeds: Speeds, rank: int) -> EnginePlan | None:
+def plan_for(prompt: Prompt, candidates: Sequence[Candidate], speeds: Speeds, rank: int) -> EnginePlan | None:
     """Return the plan of least cost for ``prompt`` at ``rank``; None if no engine can run it."""
-    members = [one.member for one in seen]
-    holder = _best_holder(prompt, members)
-    views = Views(prompt, seen, holder, speeds.pause_s).all()
-    path = best_path(tuple(views.values()), speeds, prompt.tokens)
+    members = [one.member for one in candidates]
+    holder = _best_prefix_source(prompt, members)
+    views = EngineViews(prompt, candidates, holder, speeds.pause_s).all()
+    path = best_placement(tuple(views.values()), speeds, prompt.tokens)
     if path is None:
         return None
-    by_key = {one.member.runner.key: one for one in seen}
+    by_key = {one.member.runner.key: one for one in candidates}
     first = by_key[path.prefill or path.decode]
     return EnginePlan(
-        path=path,
+        placement=path,
         prefill=first.member if path.prefill else None,
         decode=by_key[path.decode].member,
-        holder=holder,
+        prefix_source=holder,
         view=views[first.member.runner.key],
         rank=rank,
-        crowded=views[path.decode].crowded,
+        decode_full=views[path.decode].crowded,
         speeds=speeds,
         admitted=not first.permit_wait_s,
     )
 
 
-class Views:
+class EngineViews:
     """Estimates of all engines for one prompt."""
 
-    def __init__(self, prompt: Prompt, seen: Sequence[Seen], holder: Member | None, pause_s: float) -> None:
+    def __init__(
+        self, prompt: Prompt, candidates: Sequence[Candidate], prefix_source: Member | None, pause_s: float
+    ) -> None:
         """Prepare the estimates of the given engines for ``prompt``.
 
         Parameters
@@ -106,55 +108,55 @@
             Longest pause between two events of a stream that is on time, in seconds.
         """
         self._prompt = prompt
-        self._seen = seen
+        self._candidates = candidates
         self._pause_s = pause_s
         self._now = trio.current_time()
-        self._held = holder.cache.readable(prompt.parts) if holder else 0
-        self._order = _order([one.member for one in seen])
+        self._fetchable_tokens = prefix_source.cache.fetchable_tokens(prompt.parts) if prefix_source else 0
+        self._fill_order = _fill_order([one.member for one in candidates])
 
     def all(self) -> dict[str, EngineView]:
         """Return the estimates by runner key."""
-        return {one.member.runner.key: self._view(one) for one in self._seen}
+        return {one.member.runner.key: self._view(one) for one in self._candidates}
 
-    def _view(self, seen: Seen) -> EngineView:
-        member = seen.member
-        cached = member.cache.cached(self._prompt.parts)
-        known = max(cached, self._held)
+    def _view(self, candidate: Candidate) -> EngineView:
+        member = candidate.member
+        cached = member.cache.cached_tokens(self._prompt.parts)
+        known = max(cached, self._fetchable_tokens)
         if known - cached < MIN_FETCH_TOKENS:
             known = cached
         runner = member.runner
         return EngineView(
             runner=runner.key,
             stage=runner.stage,
-            wait_s=max(member.load.wait_s(self._now), seen.permit_wait_s),
-            read_lately_s=member.load.read_lately_s(self._pause_s, self._now),
-            streams=member.load.timely_streams(self._now),
+            wait_s=max(member.load.wait_s(self._now), candidate.permit_wait_s),
+            recent_prefill_s=member.load.recent_prefill_s(self._pause_s, self._now),
+            streams=member.load.on_time_streams(self._now),
             fill=min(member.load.streams(self._now) / max(runner.slots, 1), 1),
-            crowded=self._crowded(member),
-            fresh_tokens=max(self._prompt.tokens - known, 1),
+            crowded=self._is_full(member),
+            uncached_tokens=max(self._prompt.tokens - known, 1),
             fetch_tokens=known - cached,
             pace=member.pace.factor(self._now),
-            order=self._order.get(runner.key, 0),
+            order=self._fill_order.get(runner.key, 0),
             zone=runner.zone,
             lost_share=member.losses.share(self._now),
-            place_s=seen.place_s,
+            permit_interval_s=candidate.permit_interval_s,
         )
 
-    def _crowded(self, member: Member) -> bool:
+    def _is_full(self, member: Member) -> bool:
         load = member.load
         if load.streams(self._now) >= member.runner.slots:
             return True
         return load.stream_tokens(self._now) + self._prompt.tokens > MEMORY_SHARE * member.kv_tokens
 
 
-def _best_holder(prompt: Prompt, members: Sequence[Member]) -> Member | None:
-    return max(members, key=lambda member: member.cache.readable(prompt.parts), default=None)
+def _best_prefix_source(prompt: Prompt, members: Sequence[Member]) -> Member | None:
+    return max(members, key=lambda member: member.cache.fetchable_tokens(prompt.parts), default=None)
 
 
-def _order(members: Sequence[Member]) -> dict[str, int]:
+def _fill_order(members: Sequence[Member]) -> dict[str, int]:
     """Return the order in which all instances fill decode engines, by runner key."""
     keys = (member.runner.key for member in members if member.runner.stage is Stage.decode)
     return {key: index for index, key in enumerate(sorted(keys))}
 
 
-__all__ = ('EnginePlan', 'Seen', 'Views', 'plan_for')
+__all__ = ('Candidate', 'EnginePlan', 'EngineViews', 'plan_for')
--- a/packages/sesamepoint/src/sesamepoint/front/known_engines.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_subset.py
@@ -10,69 +10,69 @@
 if TYPE_CHECKING:
     from sesamepoint_core.serving.runner import Runner
     from sesamepoint.front.fleet import Fleet
-    from sesamepoint.front.member import Member
+    from sesamepoint.front.fleet_member import Member
 
 # Engines of one service and stage in an instance's subset. Current fleets are smaller
 # and used by all instances. With 600 engines and 350 instances each engine is used by
 # 14 instances, and a send to it is announced to those only. A larger subset means more
 # announcements; docs/CAPACITY.md has both figures for the design size.
-KNOWN = 24
+SUBSET_ENGINES = 24
 
 
-class KnownEngines:
+class EngineSubset:
     """The runners that each instance uses, by a hash of the names of instance and runner."""
 
-    def __init__(self, entry: str, fleet: Fleet) -> None:
+    def __init__(self, instance_id: str, fleet: Fleet) -> None:
         """Find the subset of one instance among the registered runners of ``fleet``."""
-        self._entry = entry
+        self._instance_id = instance_id
         self._fleet = fleet
-        self._here: dict[str, bool] = {}
-        self._here_at = -1
+        self._membership: dict[str, bool] = {}
+        self._membership_version = -1
 
     @property
-    def whole(self) -> bool:
+    def covers_fleet(self) -> bool:
         """Tell whether each instance uses all engines."""
-        return all(self._size(member.runner) <= KNOWN for member in self._fleet.members.values())
+        return all(self._fleet_size(member.runner) <= SUBSET_ENGINES for member in self._fleet.members.values())
 
     def of_service(self, service: str) -> list[Member]:
         """Return the runners of ``service`` that this instance may send new requests to."""
-        return [member for member in self._fleet.of_service(service) if self.here(member.runner)]
+        return [member for member in self._fleet.of_service(service) if self.contains(member.runner)]
 
-    async def until_any(self, service: str) -> bool:
+    async def wait_for_any(self, service: str) -> bool:
         """Wait until a runner of ``service`` is registered; return False if all of its runners are draining."""
-        return await self._fleet.until_any(service)
+        return await self._fleet.wait_for_any(service)
 
-    def here(self, runner: Runner) -> bool:
+    def contains(self, runner: Runner) -> bool:
         """Tell whether this instance uses ``runner``; cached, since each selection asks for each engine."""
-        if self._here_at != self._fleet.changes:
-            self._here_at = self._fleet.changes
-            self._here.clear()
-        known = self._here.get(runner.key)
+        if self._membership_version != self._fleet.changes:
+            self._membership_version = self._fleet.changes
+            self._membership.clear()
+        known = self._membership.get(runner.key)
         if known is None:
-            known = self._knows(self._entry, runner)
-            self._here[runner.key] = known
+            known = self._in_subset_of(self._instance_id, runner)
+            self._membership[runner.key] = known
         return known
 
-    def at(self, entry: str, key: str) -> bool:
+    def contains_at(self, instance_id: str, key: str) -> bool:
         """Tell whether an instance uses the runner with ``key``."""
         member = self._fleet.members.get(key)
-        return member is not None and self._knows(entry, member.runner)
+        return member is not None and self._in_subset_of(instance_id, member.runner)
 
-    def share_of(self, service: str, stage: Stage) -> float:
+    def subset_share(self, service: str, stage: Stage) -> float:
         """Return the share of the engines of a stage that one instance uses.
 
         It is also the expected share of a peer's work that goes to engines in
         this instance's subset, since each instance has another subset.
         """
         size = self._fleet.size_of(service, stage)
-        return min(KNOWN / size, 1) if size else 1
+        return min(SUBSET_ENGINES / size, 1) if size else 1
 
-    def _knows(self, entry: str, runner: Runner) -> bool:
-        return is_known(entry, runner.key, self._size(runner), KNOWN)
+    def _in_subset_of(self, instance_id: str, runner: Runner) -> bool:
+        return is_known(instance_id, runner.key, self._fleet_size(runner), SUBSET_ENGINES)
 
-    def _size(self, runner: Runner) -> int:
+    def _fleet_size(self, runner: Runner) -> int:
         """Return how many engines its service has for its stage; 0 for a plain service, which all instances use."""
         return 0 if runner.stage is Stage.plain else self._fleet.size_of(runner.service, runner.stage)
 
 
-__all__ = ('KNOWN', 'KnownEngines')
+__all__ = ('SUBSET_ENGINES', 'EngineSubset')
--- a/packages/sesamepoint/src/sesamepoint/front/events_split.py
+++ b/packages/sesamepoint/src/sesamepoint/front/event_splitter.py
@@ -15,34 +15,34 @@
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
-        self.last_id = ''
-        self._held = b''
+        self.last_event_id = ''
+        self._buffer = b''
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes of the incomplete event."""
-        return self._held
+        return self._buffer
 
     def feed(self, received: bytes) -> bytes:
         """Return the events that are complete with ``received``."""
-        self._held += received
-        end = self._held.rfind(_EVENT_END)
+        self._buffer += received
+        end = self._buffer.rfind(_EVENT_END)
         if end < 0:
             return b''
         end += len(_EVENT_END)
-        complete = self._held[:end]
-        self._held = self._held[end:]
-        self._note_id(complete)
+        complete = self._buffer[:end]
+        self._buffer = self._buffer[end:]
+        self._note_last_event_id(complete)
         return complete
 
     def restart(self) -> None:
         """Drop the incomplete event, as before another runner resumes the stream."""
-        self._held = b''
+        self._buffer = b''
 
-    def _note_id(self, whole: bytes) -> None:
+    def _note_last_event_id(self, whole: bytes) -> None:
         for line in reversed(whole.split(b'\n')):
             if line.startswith(_ID_FIELD):
-                self.last_id = line[len(_ID_FIELD) :].strip().decode('latin-1')
+                self.last_event_id = line[len(_ID_FIELD) :].strip().decode('latin-1')
                 return
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/cause.py
+++ b/packages/sesamepoint/src/sesamepoint/front/failure_cause.py
@@ -5,19 +5,19 @@
 from enum import StrEnum
 
 
-class Cause(StrEnum):
+class FailureCause(StrEnum):
     """Why a request ended without a complete answer; ``sesamectl loss`` groups by the values."""
 
     none = ''
     refused = 'refused'
     denied = 'key_denied'
     quarantined = 'ends_its_runners'
-    behind_trial = 'behind_its_trial'
-    limited = 'runners_name_limits'
-    resting = 'runners_rest'
-    leaving = 'runners_leave'
+    behind_probe = 'behind_its_trial'
+    rate_limited = 'runners_name_limits'
+    backed_off = 'runners_rest'
+    draining = 'runners_leave'
     no_runner = 'no_runner'
-    turned_away = 'turned_away_by_runners'
+    rejected_by_runners = 'turned_away_by_runners'
     not_run_in_time = 'not_run_in_time'
     no_answer_in_time = 'no_answer_in_time'
     answer_too_long = 'answer_not_whole_in_time'
@@ -28,4 +28,4 @@
     caller_left = 'caller_left'
 
 
-__all__ = ('Cause',)
+__all__ = ('FailureCause',)
--- a/packages/sesamepoint/src/sesamepoint/front/fleet.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet.py
@@ -8,22 +8,22 @@
 
 import trio
 
-from sesamepoint_core.bounded import forget_oldest
+from sesamepoint_core.bounded_dict import drop_oldest
 from sesamepoint import events
-from sesamepoint.front.member import UNKNOWN_KV_TOKENS, Member
+from sesamepoint.front.fleet_member import UNKNOWN_KV_TOKENS, Member
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
+    from sesamepoint_core.serving.poison_requests import Incarnation
     from sesamepoint_core.serving.routes import Configuration
     from sesamepoint_core.serving.runner import Runner, Stage
-    from sesamepoint_core.serving.suspects import Start
-    from sesamepoint.front.gate import Gate
+    from sesamepoint.front.send_check import SendCheck
     from sesamepoint.http1.transport import Network
 
 # Number of runners whose newest incarnation is remembered, also after they have gone, so
 # that a late message about an earlier one does not bring it back. A day has some hundred.
-REMEMBERED_STARTS = 4096
+REMEMBERED_INCARNATIONS = 4096
 # An unregistered runner may still be used for this share of the drain time. Registrations
 # also expire while the store is unavailable, though their runners live; without a grace
 # period a store that comes back would empty every fleet for seconds.
@@ -33,7 +33,7 @@
 class Fleet:
     """Members by runner key, updated from their registrations."""
 
-    def __init__(self, drain_s: float, network: Network, now: Callable[[], float], gate: Gate) -> None:
+    def __init__(self, drain_s: float, network: Network, now: Callable[[], float], gate: SendCheck) -> None:
         """Start without runners.
 
         Parameters
@@ -52,17 +52,17 @@
         self._grace_s = drain_s * GRACE_SHARE
         self._now = now
         self._kv_tokens: dict[str, int] = {}
-        self._starts: dict[str, int] = {}
+        self._newest_born_ms: dict[str, int] = {}
         self.changes = 0
         # Called when another incarnation answers at the address of a runner.
-        self.on_replaced: Callable[[Start], None] | None = None
+        self.on_replaced: Callable[[Incarnation], None] | None = None
         self._changed = trio.Event()
         self._sizes: Counter[tuple[str, Stage]] = Counter()
         self._sizes_at = -1
         # Unbounded: it never has more entries than there are registrations.
         self._joined = trio.open_memory_channel[Member](math.inf)
 
-    def allow(self, drain_s: float) -> None:
+    def set_drain(self, drain_s: float) -> None:
         """Change the drain time to ``drain_s`` seconds; an unregistered runner is kept for a share of it."""
         self._grace_s = drain_s * GRACE_SHARE
 
@@ -79,7 +79,7 @@
         listed = {runner.key: runner for runner in runners}
         for key in tuple(self.members):
             if key not in listed:
-                self.remove(key)
+                self.note_unregistered(key)
         for runner in listed.values():
             self.update(runner)
         self.listed = True
@@ -90,26 +90,28 @@
         A registration of an earlier incarnation than the known one is ignored: it
         comes from a store that is behind, or a peer's message has overtaken it.
         """
-        known_ms = self._starts.get(runner.key, 0)
+        known_ms = self._newest_born_ms.get(runner.key, 0)
         if runner.born_ms < known_ms:
-            events.log_event(events.EARLIER_START, runner=runner.key, born_ms=runner.born_ms, known_ms=known_ms)
+            events.log_event(
+                events.STALE_INCARNATION_IGNORED, runner=runner.key, born_ms=runner.born_ms, known_ms=known_ms
+            )
             if not runner.born_ms:
                 # A runner that registers its start time always does. This record is from
                 # another writer, so the runner itself is no longer registered.
-                self.remove(runner.key)
+                self.note_unregistered(runner.key)
             return
         member = self.members.get(runner.key)
         if member is None or member.runner != runner:
             self.changes += 1
-        if member is None or not member.same_start(runner):
-            self._join(runner)
+        if member is None or not member.same_incarnation(runner):
+            self._add(runner)
             return
-        if runner.leaving and not member.runner.leaving:
-            events.log_event(events.RUNNER_LEAVING, runner=runner.key, fleet=runner.service)
+        if runner.draining and not member.runner.draining:
+            events.log_event(events.RUNNER_DRAINING, runner=runner.key, fleet=runner.service)
         member.runner = runner
-        member.gone_at = None
+        member.unregistered_at = None
 
-    def at_start(self, key: str, born_ms: int) -> Member | None:
+    def at_incarnation(self, key: str, born_ms: int) -> Member | None:
         """Return the member with ``key`` if its newest incarnation started at ``born_ms``, else None.
 
         A message about an incarnation that is newer than the known one replaces the
@@ -122,21 +124,21 @@
             return None
         self.changes += 1
         # Whether the new incarnation is draining too will come with its registration.
-        self._join(member.runner._replace(born_ms=born_ms))
+        self._add(member.runner._replace(born_ms=born_ms))
         return self.members[key]
 
-    def of_start(self, start: Start) -> Member | None:
+    def of_incarnation(self, incarnation: Incarnation) -> Member | None:
         """Return the member of an incarnation; None if another incarnation of its runner is known."""
-        member = self.members.get(start.runner)
-        return member if member is not None and member.start == start else None
+        member = self.members.get(incarnation.runner)
+        return member if member is not None and member.incarnation == incarnation else None
 
-    def remove(self, key: str) -> None:
+    def note_unregistered(self, key: str) -> None:
         """Note that a runner is no longer registered; it is kept for the grace period."""
         member = self.members.get(key)
-        if member is None or member.gone_at is not None:
+        if member is None or member.unregistered_at is not None:
             return
-        member.gone_at = self._now()
-        events.log_event(events.RUNNER_GONE, runner=key, fleet=member.runner.service)
+        member.unregistered_at = self._now()
+        events.log_event(events.RUNNER_UNREGISTERED, runner=key, fleet=member.runner.service)
 
     def size_of(self, service: str, stage: Stage) -> int:
         """Return how many runners of ``service`` are registered for ``stage``."""
@@ -145,18 +147,18 @@
             self._sizes = Counter((one.runner.service, one.runner.stage) for one in self.members.values())
         return self._sizes[service, stage]
 
-    def leaving(self) -> int:
+    def count_draining(self) -> int:
         """Return how many runners are draining."""
-        return sum(member.leaving for member in self.members.values())
+        return sum(member.draining for member in self.members.values())
 
-    def resting(self) -> int:
+    def count_backing_off(self) -> int:
         """Return from how many runners this instance is backing off."""
-        return sum(member.rests for member in self.members.values())
+        return sum(member.backing_off for member in self.members.values())
 
-    async def until_any(self, service: str) -> bool:
+    async def wait_for_any(self, service: str) -> bool:
         """Wait until a runner of ``service`` may get new requests; return False if all of its runners are draining."""
         while not self.of_service(service):
-            if self._all_leave(service):
+            if self._all_draining(service):
                 return False
             await self._changed.wait()
         return True
@@ -170,25 +172,27 @@
 
         Unregistered ones are returned only if there are no others.
         """
-        self._forget()
+        self._drop_expired()
         of_service = [member for member in self.members.values() if member.runner.service == service]
-        usable = [member for member in of_service if not member.leaving and not member.replaced]
-        registered = [member for member in usable if member.gone_at is None]
+        usable = [member for member in of_service if not member.draining and not member.replaced]
+        registered = [member for member in usable if member.unregistered_at is None]
         return registered or usable
 
-    def _all_leave(self, service: str) -> bool:
+    def _all_draining(self, service: str) -> bool:
         """Tell whether runners of ``service`` are registered, and all of them are draining."""
-        registered = [one for one in self.members.values() if one.runner.service == service and one.gone_at is None]
-        return bool(registered) and all(one.leaving for one in registered)
+        registered = [
+            one for one in self.members.values() if one.runner.service == service and one.unregistered_at is None
+        ]
+        return bool(registered) and all(one.draining for one in registered)
 
-    def _join(self, runner: Runner) -> None:
+    def _add(self, runner: Runner) -> None:
         """Add a runner, or replace its earlier incarnation, whose state is dropped."""
         earlier = self.members.get(runner.key)
         if earlier is not None:
             earlier.close()
-            self._gate.words.forget(earlier.start)
+            self._gate.runner_statuses.forget(earlier.incarnation)
             events.log_event(events.RUNNER_RESTARTED, runner=runner.key, born_ms=runner.born_ms)
-        self._remember_start(runner)
+        self._remember_incarnation(runner)
         kv_tokens = self._kv_tokens.get(runner.service, UNKNOWN_KV_TOKENS)
         member = Member(runner, self._network, self._gate, kv_tokens)
         member.on_replaced = self.on_replaced
@@ -196,17 +200,17 @@
         self._changed.set()
         self._changed = trio.Event()
         self._joined[0].send_nowait(member)
-        events.log_event(events.RUNNER_JOINED, runner=runner.key, fleet=runner.service, leaving=runner.leaving)
+        events.log_event(events.RUNNER_JOINED, runner=runner.key, fleet=runner.service, leaving=runner.draining)
 
-    def _remember_start(self, runner: Runner) -> None:
-        self._starts.pop(runner.key, None)
-        self._starts[runner.key] = runner.born_ms
-        forget_oldest(self._starts, REMEMBERED_STARTS)
+    def _remember_incarnation(self, runner: Runner) -> None:
+        self._newest_born_ms.pop(runner.key, None)
+        self._newest_born_ms[runner.key] = runner.born_ms
+        drop_oldest(self._newest_born_ms, REMEMBERED_INCARNATIONS)
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._now()
         for key, member in tuple(self.members.items()):
-            if member.gone_at is not None and now - member.gone_at > self._grace_s:
+            if member.unregistered_at is not None and now - member.unregistered_at > self._grace_s:
                 member.close()
                 self.members.pop(key)
                 self.changes += 1
--- a/packages/sesamepoint/src/sesamepoint/front/member.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet_member.py
@@ -10,21 +10,21 @@
 
 from sesamepoint_core.route.pace import Pace
 from sesamepoint_core.serving.engine_load import EngineLoad
-from sesamepoint_core.serving.health import Health
+from sesamepoint_core.serving.health import RunnerHealth
 from sesamepoint_core.serving.kv_cache import CacheModel
-from sesamepoint_core.serving.losses import LossMeter
-from sesamepoint_core.serving.suspects import Start
+from sesamepoint_core.serving.loss_meter import LossMeter
+from sesamepoint_core.serving.poison_requests import Incarnation
 from sesamepoint import events
-from sesamepoint.front.gate import GateClosedError, Passage, SendKind
-from sesamepoint.front.pool import Pool
-from sesamepoint.front.runner_words import FROM_ANSWER
+from sesamepoint.front.connection_pool import ConnectionPool
+from sesamepoint.front.runner_status import FROM_ANSWER
+from sesamepoint.front.send_check import PendingSend, SendBlockedError, SendKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sesamepoint_core.runner_words.belief import Belief
+    from sesamepoint_core.runner_status.known_status import KnownStatus
     from sesamepoint_core.serving.runner import Runner
-    from sesamepoint.front.gate import Gate, Purpose
+    from sesamepoint.front.send_check import SendCheck, SendPurpose
     from sesamepoint.http1.client import ClientConn
     from sesamepoint.http1.messages import ResponseHead
     from sesamepoint.http1.transport import Network
@@ -34,15 +34,15 @@
 # A probe of whether a runner has ended is reused for this long, in seconds: when a runner
 # ends, all its requests fail at once. With a probe for each, one after the other, the last
 # of 24 requests was answered 0.9 s later in a network where connections got no reply.
-ONE_LOOK_S = 0.1
+PROBE_TTL_S = 0.1
 # Calls that are not requests of callers and don't count as requests in progress.
-CALLS_BESIDES = frozenset((SendKind.inventory, SendKind.free_memory))
+MAINTENANCE_CALLS = frozenset((SendKind.inventory, SendKind.free_memory))
 
 
 class Member:
     """One incarnation of a runner: its registration, connections, load, health and reported status."""
 
-    def __init__(self, runner: Runner, network: Network, gate: Gate, kv_tokens: int = UNKNOWN_KV_TOKENS) -> None:
+    def __init__(self, runner: Runner, network: Network, gate: SendCheck, kv_tokens: int = UNKNOWN_KV_TOKENS) -> None:
         """Start from the registration only.
 
         Parameters
@@ -54,13 +54,13 @@
         """
         self.runner = runner
         self._gate = gate
-        self._words = gate.words
+        self._runner_statuses = gate.runner_statuses
         # Whether a newer incarnation has taken its place, or it was dropped from the fleet.
         self.closed = False
-        self.gone_at: float | None = None
+        self.unregistered_at: float | None = None
         self.replaced = False
-        self._pool = Pool(runner.address, network, self._note_head)
-        self.health = Health()
+        self._pool = ConnectionPool(runner.address, network, self._note_head)
+        self.health = RunnerHealth()
         self.load = EngineLoad()
         self.losses = LossMeter()
         self.cache = CacheModel(kv_tokens)
@@ -70,41 +70,41 @@
         # Whether it has answered any request of this instance.
         self.answered = False
         # Called when an answer from its address comes from another incarnation.
-        self.on_replaced: Callable[[Start], None] | None = None
-        self._looked_at = -math.inf
-        self._refused = False
-        self._looking = trio.Lock()
+        self.on_replaced: Callable[[Incarnation], None] | None = None
+        self._probed_at = -math.inf
+        self._probe_refused = False
+        self._probe_lock = trio.Lock()
 
     @property
-    def start(self) -> Start:
+    def incarnation(self) -> Incarnation:
         """Return the incarnation of the runner that this member stands for."""
-        return Start(self.runner.key, self.runner.born_ms)
+        return Incarnation(self.runner.key, self.runner.born_ms)
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """Tell whether it is draining, by its registration or its reported status."""
-        return self.runner.leaving or self._belief.leaving
+        return self.runner.draining or self._status.draining
 
     @property
-    def rests(self) -> bool:
+    def backing_off(self) -> bool:
         """Tell whether it asked this instance for a back-off that still lasts."""
-        return self._belief.rest_left_s(trio.current_time()) > 0
+        return self._status.back_off_left_s(trio.current_time()) > 0
 
     @property
-    def rests_elsewhere(self) -> bool:
+    def backing_off_peer(self) -> bool:
         """Tell whether it asked a peer for a back-off that still lasts."""
-        return self._belief.hinted(trio.current_time())
+        return self._status.peer_backs_off(trio.current_time())
 
     @property
-    def has_room(self) -> bool:
+    def accepts_more(self) -> bool:
         """Tell whether it takes one more request of this instance: none in a back-off, few just after one."""
-        return self.in_flight < self._belief.room(trio.current_time())
+        return self.in_flight < self._status.max_in_flight(trio.current_time())
 
-    def closed_to(self, purpose: Purpose) -> str:
+    def blocking_condition(self, purpose: SendPurpose) -> str:
         """Return the condition that forbids to send ``purpose`` to the runner now; empty if none does."""
-        return self._gate.closed_by(Passage(self, purpose, self.in_flight))
+        return self._gate.blocked_by(PendingSend(self, purpose, self.in_flight))
 
-    async def connection(self, purpose: Purpose) -> ClientConn:
+    async def connection(self, purpose: SendPurpose) -> ClientConn:
         """Return a connection that runs the admission check before it sends anything.
 
         Raises
@@ -112,11 +112,11 @@
         ConnectFailedError
             If there is no idle connection, and a new one failed.
         """
-        return await self._pool.take(partial(self._pass, purpose))
+        return await self._pool.acquire(partial(self._check_admission, purpose))
 
-    def give_back(self, conn: ClientConn) -> None:
+    def release(self, conn: ClientConn) -> None:
         """Return a connection to the pool."""
-        self._pool.give_back(conn)
+        self._pool.release(conn)
 
     async def has_ended(self) -> bool:
         """Tell whether the runner has crashed, after a connection to it broke.
@@ -125,13 +125,13 @@
         network lost a connection, and no request is suspected of having ended it.
         The same holds for a runner that is draining or no longer registered.
         """
-        if self.leaving or self.gone_at is not None:
+        if self.draining or self.unregistered_at is not None:
             return False
-        async with self._looking:
-            if trio.current_time() - self._looked_at > ONE_LOOK_S:
-                self._refused = await self._pool.refuses()
-                self._looked_at = trio.current_time()
-            return self._refused
+        async with self._probe_lock:
+            if trio.current_time() - self._probed_at > PROBE_TTL_S:
+                self._probe_refused = await self._pool.probe_refused()
+                self._probed_at = trio.current_time()
+            return self._probe_refused
 
     def note_replaced(self, source: str) -> None:
         """Note that another incarnation has its address.
@@ -150,9 +150,9 @@
         address = str(self.runner.address)
         events.log_event(events.RUNNER_REPLACED, runner=self.runner.key, address=address, source=source)
         if source == FROM_ANSWER and self.on_replaced is not None:
-            self.on_replaced(self.start)
+            self.on_replaced(self.incarnation)
 
-    def same_start(self, runner: Runner) -> bool:
+    def same_incarnation(self, runner: Runner) -> bool:
         """Tell whether a registration is of the same incarnation of the runner.
 
         A new address also means a new incarnation, since connections to the old
@@ -172,23 +172,23 @@
         self._pool.close()
 
     @property
-    def _belief(self) -> Belief:
-        return self._words.belief_of(self.start)
+    def _status(self) -> KnownStatus:
+        return self._runner_statuses.status_of(self.incarnation)
 
-    def _pass(self, purpose: Purpose) -> None:
+    def _check_admission(self, purpose: SendPurpose) -> None:
         # A request of a caller already counts as in flight itself.
-        beside = self.in_flight if purpose.kind in CALLS_BESIDES else self.in_flight - 1
-        condition = self._gate.closed_by(Passage(self, purpose, beside))
+        beside = self.in_flight if purpose.kind in MAINTENANCE_CALLS else self.in_flight - 1
+        condition = self._gate.blocked_by(PendingSend(self, purpose, beside))
         if condition:
-            raise GateClosedError(self.runner.key, condition)
+            raise SendBlockedError(self.runner.key, condition)
         if purpose.job is not None:
-            self._words.limits.use(self.start, purpose.job)
+            self._runner_statuses.limits.use(self.incarnation, purpose.job)
 
     def _note_head(self, head: ResponseHead, sent_at: float) -> None:
         if not self.answered:
             self.answered = True
-            self._words.limits.fresh.set()
-        self._words.note_answer(self.start, head, sent_at)
+            self._runner_statuses.limits.changed.set()
+        self._runner_statuses.note_answer(self.incarnation, head, sent_at)
 
 
-__all__ = ('CALLS_BESIDES', 'Member')
+__all__ = ('MAINTENANCE_CALLS', 'Member')
--- a/packages/sesamepoint/src/sesamepoint/front/front.py
+++ b/packages/sesamepoint/src/sesamepoint/front/front.py
@@ -6,20 +6,20 @@
 
 import trio
 
-from sesamepoint.front.dispatch import Budgets, Dispatcher
-from sesamepoint.front.door import Door
+from sesamepoint.front.dispatch import Dispatcher, RetryBudgets
+from sesamepoint.front.http_handler import HttpHandler
 from sesamepoint.front.engine_runs import EngineRuns
-from sesamepoint.front.engine_tools import EngineTools
+from sesamepoint.front.dispatch_components import DispatchComponents
 from sesamepoint.front.fleet import Fleet
-from sesamepoint.front.following import Beliefs, Following
-from sesamepoint.front.gate import Gate
-from sesamepoint.front.inventory import Inventory
-from sesamepoint.front.known_engines import KnownEngines
+from sesamepoint.front.store_sync import StoreSync, SyncTargets
+from sesamepoint.front.send_check import SendCheck
+from sesamepoint.front.cache_inventory import CacheInventory
+from sesamepoint.front.engine_subset import EngineSubset
 from sesamepoint.front.runner_limits import RunnerLimits
 from sesamepoint.front.limit_exchange import LimitExchange
 from sesamepoint.front.peers import Peers
 from sesamepoint.front.quarantine import Quarantine
-from sesamepoint.front.sends import SendNotes
+from sesamepoint.front.engine_sends import SendTracker
 from sesamepoint.http1.server import ServerLimits
 from sesamepoint.supervisor import Child
 
@@ -34,15 +34,15 @@
 # Seconds after the signal to stop until idle connections are closed. Callers still
 # come until the platform notices, after two readiness checks a second apart; there
 # is time for one more check.
-NOTICE_S = 3.2
+UNREADY_NOTICE_S = 3.2
 # Seconds after the signal in which requests with any deadline are accepted: the
 # platform sends callers to other instances only once it has noticed, and makes
 # allowance for requests sent within three seconds of the signal.
-TAKING_S = 2.8
+ACCEPT_ALL_S = 2.8
 # Seconds kept free at the end of the time to stop.
-LAST_S = 0.3
+STOP_MARGIN_S = 0.3
 # Interval of the check for requests in progress while stopping, in seconds.
-POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 
 
 class Front:
@@ -60,87 +60,87 @@
         self.cfg = cfg
         self._runner_limits = RunnerLimits(cfg.name, rng)
         quarantine = Quarantine(cfg.name)
-        gate = Gate.from_limits(self._runner_limits, quarantine.suspects)
+        gate = SendCheck.from_limits(self._runner_limits, quarantine.suspects)
         self.fleet = Fleet(cfg.drain_s, network, trio.current_time, gate)
-        sends = SendNotes(cfg.name, self.fleet, rng)
+        sends = SendTracker(cfg.name, self.fleet, rng)
         self.backlog = sends.backlog
-        known = KnownEngines(cfg.name, self.fleet)
+        known = EngineSubset(cfg.name, self.fleet)
         self.peers = Peers(cfg, sends, quarantine, known, peer_network)
-        self._inventory = Inventory(self.fleet, known, rng)
-        budgets = Budgets(cfg.retry_ratio, cfg.retry_window_s)
-        self._tools = EngineTools.from_zone(cfg.availability_zone, known, sends, gate.words, rng)
-        self._exchange = LimitExchange(self._tools, self.fleet, known, self.peers)
-        self.dispatcher = Dispatcher(self._tools, EngineRuns(self._tools), quarantine, budgets, rng)
-        beliefs = Beliefs(self.dispatcher, self.fleet, gate.words, self.peers, budgets, quarantine)
-        self._following = Following(cfg, beliefs, network, rng, clock)
-        self.peer_pages = self._following.pages
-        self.door = Door(self.dispatcher, self._limits)
-        self.listening = trio.CancelScope()
-        self._watch(quarantine)
+        self._inventory = CacheInventory(self.fleet, known, rng)
+        budgets = RetryBudgets(cfg.retry_ratio, cfg.retry_window_s)
+        self._components = DispatchComponents.build(cfg.availability_zone, known, sends, gate.runner_statuses, rng)
+        self._limit_exchange = LimitExchange(self._components, self.fleet, known, self.peers)
+        self.dispatcher = Dispatcher(self._components, EngineRuns(self._components), quarantine, budgets, rng)
+        beliefs = SyncTargets(self.dispatcher, self.fleet, gate.runner_statuses, self.peers, budgets, quarantine)
+        self._store_sync = StoreSync(cfg, beliefs, network, rng, clock)
+        self.peer_pages = self._store_sync.pages
+        self.http_handler = HttpHandler(self.dispatcher, self._server_limits)
+        self.listener_scope = trio.CancelScope()
+        self._add_gauges(quarantine)
 
     def children(self) -> list[Child]:
         """Return the background tasks besides the listeners."""
         return [
-            *self._following.children(),
-            Child('keep-alive', self.peers.keep_alive),
+            *self._store_sync.children(),
+            Child('keep-alive', self.peers.send_heartbeats),
             Child('peer-listen', self.peers.listen),
-            Child('peer-tell', self.peers.tell),
-            Child('peer-notices', self.peers.tell_notices),
-            Child('handles', self._tools.reclaimer.run),
-            Child('waiting', self._tools.waiting.run),
+            Child('peer-tell', self.peers.broadcast_sends),
+            Child('peer-notices', self.peers.send_queued),
+            Child('handles', self._components.reclaimer.run),
+            Child('waiting', self._components.engine_queue.run),
             Child('inventory', self._inventory.run),
-            Child('runner-limits', self._exchange.run),
+            Child('runner-limits', self._limit_exchange.run),
         ]
 
     def reconfigure(self, cfg: FrontSettings) -> None:
         """Apply ``cfg``; changed addresses need a restart."""
         self.cfg = cfg
-        self.fleet.allow(cfg.drain_s)
-        self._following.reconfigure(cfg)
+        self.fleet.set_drain(cfg.drain_s)
+        self._store_sync.reconfigure(cfg)
 
     def ready(self) -> bool:
         """Return whether callers may be sent to this instance."""
-        return not self.door.stopping and self.fleet.listed and self.dispatcher.configuration is not None
+        return not self.http_handler.stopping and self.fleet.listed and self.dispatcher.configuration is not None
 
     async def wind_down(self) -> None:
         """Become unready, let the platform notice, and finish the requests in progress."""
-        self.door.stopping = True
-        end_at = trio.current_time() + self.cfg.stop_s - LAST_S
+        self.http_handler.stopping = True
+        end_at = trio.current_time() + self.cfg.stop_s - STOP_MARGIN_S
         with trio.move_on_at(end_at):
-            await trio.sleep(TAKING_S)
-            self.door.end_by = end_at
-            await trio.sleep(NOTICE_S - TAKING_S)
+            await trio.sleep(ACCEPT_ALL_S)
+            self.http_handler.must_end_by = end_at
+            await trio.sleep(UNREADY_NOTICE_S - ACCEPT_ALL_S)
             # New connections are refused from here on, so that callers know that
             # nothing ran. A request accepted now could be cut off.
-            self.listening.cancel()
-            self.door.close_idle()
-            await self._following.withdraw()
-            while self.door.active:
-                await trio.sleep(POLL_S)
-
-    def _watch(self, quarantine: Quarantine) -> None:
-        tools, fleet = self._tools, self.fleet
+            self.listener_scope.cancel()
+            self.http_handler.close_idle()
+            await self._store_sync.withdraw()
+            while self.http_handler.active:
+                await trio.sleep(DRAIN_POLL_S)
+
+    def _add_gauges(self, quarantine: Quarantine) -> None:
+        tools, fleet = self._components, self.fleet
         gauges = (
-            ('waiting_requests', 'Requests that wait here for an engine.', tools.waiting.count),
-            ('active_requests', 'Requests under way.', lambda: self.door.active),
+            ('waiting_requests', 'Requests that wait here for an engine.', tools.engine_queue.count),
+            ('active_requests', 'Requests under way.', lambda: self.http_handler.active),
             ('entries', 'Entries that are registered.', self.peers.count),
             ('runners', 'Runners that are known.', lambda: len(fleet.members)),
-            ('waiting_for_limits', 'Requests that wait for runners with limits, or at rest.', tools.places.count),
+            ('waiting_for_limits', 'Requests that wait for runners with limits, or at rest.', tools.permit_queue.count),
             ('limited_runners', 'Runners that name a limit.', self._runner_limits.count),
-            ('leaving_runners', 'Runners that leave.', fleet.leaving),
-            ('resting_runners', 'Runners that want nothing from here now.', fleet.resting),
-            ('configuration_version', 'Version in force; 0 before the first.', self._version),
+            ('leaving_runners', 'Runners that leave.', fleet.count_draining),
+            ('resting_runners', 'Runners that want nothing from here now.', fleet.count_backing_off),
+            ('configuration_version', 'Version in force; 0 before the first.', self._config_version),
         )
-        watch = self.dispatcher.metrics.watch
+        watch = self.dispatcher.metrics.add_gauge
         for name, text, value_of in gauges:
             watch(f'sesamepoint_{name}', text, value_of)
         quarantine.watch(watch)
 
-    def _version(self) -> float:
+    def _config_version(self) -> float:
         cfg = self.dispatcher.configuration
         return cfg.version if cfg else 0
 
-    def _limits(self) -> ServerLimits:
+    def _server_limits(self) -> ServerLimits:
         cfg = self.dispatcher.configuration
         if cfg is None:
             return ServerLimits()
--- a/packages/sesamepoint/src/sesamepoint/front/own_record.py
+++ b/packages/sesamepoint/src/sesamepoint/front/instance_registration.py
@@ -15,10 +15,10 @@
     from sesamepoint.platform.store import KeyedRecord, StoreClient
 
 # How often to check for failed peers, in seconds.
-LOOK_S = 1.0
+FAILURE_CHECK_S = 1.0
 
 
-class OwnRecord:
+class InstanceRegistration:
     """Keeps this instance on the list of instances, and removes failed peers from it."""
 
     def __init__(self, name: str, peers: Peers, new_client: Callable[[], StoreClient]) -> None:
@@ -44,20 +44,20 @@
         """Remove the record of this instance, which is about to stop."""
         await self._peers.withdraw(self._new_client())
 
-    async def drop_lost(self, reads_list: Callable[[], bool]) -> None:
+    async def drop_failed(self, polls_list: Callable[[], bool]) -> None:
         """Remove the records of failed peers while this instance polls the list for all, until cancelled."""
         client = self._new_client()
         while True:
-            await trio.sleep(LOOK_S)
-            await self._peers.drop_lost(client, reading=reads_list())
+            await trio.sleep(FAILURE_CHECK_S)
+            await self._peers.drop_failed(client, polling=polls_list())
 
-    def check(self, records: tuple[KeyedRecord, ...]) -> None:
+    def check_list(self, records: tuple[KeyedRecord, ...]) -> None:
         """Register again if the whole list lacks this instance."""
         if all(record.key != self._name for record in records):
             self._note_dropped()
 
-    def heard(self, record: KeyedRecord) -> None:
-        """Register again if ``record`` removes this instance."""
+    def check_record(self, record: KeyedRecord) -> None:
+        """Register again if ``registration`` removes this instance."""
         if record.key == self._name and not record.text:
             self._note_dropped()
 
@@ -65,8 +65,8 @@
         """Start to register again, unless this instance is not registered anyway."""
         if self._peers.registered:
             self._peers.registered = False
-            events.log_event(events.ENTRY_DROPPED)
+            events.log_event(events.OWN_RECORD_DROPPED)
             self._dropped.set()
 
 
-__all__ = ('OwnRecord',)
+__all__ = ('InstanceRegistration',)
--- a/packages/sesamepoint/src/sesamepoint/front/job.py
+++ b/packages/sesamepoint/src/sesamepoint/front/job.py
@@ -9,46 +9,46 @@
 
 import trio
 
-from sesamepoint.front.cause import Cause
-from sesamepoint.front.content import content_id
-from sesamepoint.front.return_time import when_unknown_s
+from sesamepoint.front.content_id import content_id
+from sesamepoint.front.failure_cause import FailureCause
+from sesamepoint.front.retry_after import default_retry_after_s
 
 if TYPE_CHECKING:
     from sesamepoint_core.serving.accounts import Account, KeyFault
+    from sesamepoint_core.serving.poison_requests import Incarnation
     from sesamepoint_core.serving.routes import Route
-    from sesamepoint_core.serving.suspects import Start
+    from sesamepoint.front.probes import Probe
     from sesamepoint.front.reply import Reply
     from sesamepoint.front.request import FrontRequest
-    from sesamepoint.front.trials import Trial
 
 # Subtracted from the time that a runner gets, so that the end of its answer
 # still reaches the caller in time.
-RETURN_S = 0.01
+ANSWER_MARGIN_S = 0.01
 FIRST_SUCCESS = 200
 FIRST_REDIRECT = 300
 # Retry-After where nothing better is known, as for a short lack of runners, in seconds.
-SOON_S = 0.1
+RETRY_SOON_S = 0.1
 # Callers wait for the first event of a stream for the longest of: this many
 # seconds, this many target latencies, this many times the allowed pause
 # (published by the operator of the callers).
-MIN_STREAM_PATIENCE_S = 2.0
-TARGETS_WAITED = 4.0
-PAUSES_WAITED = 8.0
+MIN_FIRST_EVENT_WAIT_S = 2.0
+FIRST_EVENT_WAIT_TARGETS = 4.0
+FIRST_EVENT_WAIT_PAUSES = 8.0
 
 
 @dataclass
-class Notes:
+class RequestTrace:
     """Measurements and causes of one request, for its log line and the metrics.
 
     Parameters
     ----------
-    first_at
+    first_output_at
         When the first part of the answer went to the caller, on trio's clock.
     sent_at
         When the request was last sent to a runner, on trio's clock.
     prefill_s
         Duration of the remote prefill, in seconds; None if there was none.
-    held_s
+    queued_s
         Seconds that the request waited here for an engine.
     wait_expected_s
         Wait in seconds as estimated when the request came; None without an estimate.
@@ -56,100 +56,104 @@
         Why there was no complete answer.
     refused
         Whether the request was refused because engines are too busy.
-    held_back
+    unsent_cause
         Why the request was not sent, as for a quarantine, back-off or rate limit.
-    withheld
+    withheld_sends
         How often nothing was sent to a chosen runner because the send check failed.
-    passed_over
+    ineligible_runners
         Runners that were ineligible at a choice because of back-off or a rate limit.
     decision
         The latest choice of a placement, with the figures that decided it.
     """
 
-    first_at: float | None = None
+    first_output_at: float | None = None
     sent_at: float = 0
     longest_pause_s: float = 0
     prefill_s: float | None = None
-    held_s: float = 0
+    queued_s: float = 0
     wait_expected_s: float | None = None
     need: str = ''
-    cause: Cause = Cause.none
-    held_back: Cause = Cause.none
+    cause: FailureCause = FailureCause.none
+    unsent_cause: FailureCause = FailureCause.none
     refused: bool = False
-    withheld: int = 0
-    passed_over: set[str] = field(default_factory=set)
+    withheld_sends: int = 0
+    ineligible_runners: set[str] = field(default_factory=set)
     decision: dict[str, object] = field(default_factory=dict)
 
 
-OnRun = Callable[['Job'], None]
+RunStartedCallback = Callable[['Job'], None]
 
 
 @dataclass
-class Standing:
+class AccessState:
     """The account of a request, and whether it may still be sent.
 
     Parameters
     ----------
     account
         None if the request belongs to no account.
-    denied
+    denial
         Why the request may no longer be sent: its key was revoked after it came.
     scope
         Cancels the work on the request.
     permits
         Runners whose rate limit granted a token, for one send each.
-    ran
+    run_started
         Whether a runner has begun to run the request.
-    on_run
+    on_run_started
         Called when the first runner has begun to run it.
     """
 
     account: Account | None = None
-    denied: KeyFault | None = None
+    denial: KeyFault | None = None
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    permits: set[Start] = field(default_factory=set)
-    ran: bool = False
-    on_run: OnRun | None = None
+    permits: set[Incarnation] = field(default_factory=set)
+    run_started: bool = False
+    on_run_started: RunStartedCallback | None = None
 
 
 class Job:
     """A request in progress, with its route, its deadlines and its attempts."""
 
-    def __init__(self, req: FrontRequest, route: Route, service: str, reply: Reply, *, returned: bool = False) -> None:
+    def __init__(
+        self, req: FrontRequest, route: Route, service: str, reply: Reply, *, caller_retry: bool = False
+    ) -> None:
         """Start without attempts; the flag marks a retry of the caller after a refusal or a failure."""
-        self.returned = returned
+        self.caller_retry = caller_retry
         self.req = req
         self.route = route
         self.service = service
         self.reply = reply
         self.sends = 0
-        self.maybe_run = False
+        self.may_have_run = False
         # By runner key, in the order of the attempts.
-        self.tried: dict[str, Start] = {}
-        self.notes = Notes()
+        self.tried_runners: dict[str, Incarnation] = {}
+        self.trace = RequestTrace()
         # Whether a remote prefill is allowed: the first is free, further ones use the retry budget.
-        self.may_read_apart = True
-        self.retry_after_s = SOON_S
+        self.allow_remote_prefill = True
+        self.retry_after_s = RETRY_SOON_S
         # Runners that ended during the latest send, until the quarantine has counted them.
-        self.ended: list[Start] = []
+        self.ended_incarnations: list[Incarnation] = []
         # Set while the request is sent alone, as a probe for a suspected poison request.
-        self.trial: Trial | None = None
-        self.standing = Standing()
+        self.probe: Probe | None = None
+        self.access = AccessState()
 
     @cached_property
     def deadline(self) -> float:
         """Return until when the caller waits for the whole answer, on trio's clock."""
-        return self.req.arrived + min(self.req.deadline_s or self.route.timeout_s, self.route.timeout_s)
+        return self.req.arrived_at + min(self.req.deadline_s or self.route.timeout_s, self.route.timeout_s)
 
     @cached_property
-    def first_deadline(self) -> float:
+    def first_output_deadline(self) -> float:
         """Return until when the caller waits for the first part of the answer, on trio's clock."""
         route = self.route
         if not route.streamed:
             return self.deadline
         # Callers disconnect if a stream has no event by then.
-        patience_s = max(MIN_STREAM_PATIENCE_S, TARGETS_WAITED * route.target_s, PAUSES_WAITED * route.pause_s)
-        return min(self.deadline, self.req.arrived + patience_s)
+        patience_s = max(
+            MIN_FIRST_EVENT_WAIT_S, FIRST_EVENT_WAIT_TARGETS * route.target_s, FIRST_EVENT_WAIT_PAUSES * route.pause_s
+        )
+        return min(self.deadline, self.req.arrived_at + patience_s)
 
     @cached_property
     def content_id(self) -> str:
@@ -159,53 +163,53 @@
     @property
     def priority(self) -> int:
         """Return the priority of the account if it has one, else that of the route; 0 is the most urgent."""
-        account = self.standing.account
+        account = self.access.account
         if account is None or account.priority is None:
             return self.route.priority
         return account.priority
 
-    def note_no_runner(self) -> None:
+    def set_no_runner_retry(self) -> None:
         """Set the Retry-After for a lack of runners of unknown duration."""
         if not self.sends:
-            self.retry_after_s = when_unknown_s(self.caller_left_s)
+            self.retry_after_s = default_retry_after_s(self.caller_left_s)
 
-    def note_first(self) -> None:
+    def note_first_output(self) -> None:
         """Record that the first part of the answer goes to the caller."""
-        if self.notes.first_at is None:
-            self.notes.first_at = trio.current_time()
-            self.note_run()
+        if self.trace.first_output_at is None:
+            self.trace.first_output_at = trio.current_time()
+            self.note_run_started()
 
-    def note_run(self) -> None:
+    def note_run_started(self) -> None:
         """Record that a runner has begun to run the request; later runs are not counted."""
-        if not self.standing.ran:
-            self.standing.ran = True
-            if self.standing.on_run is not None:
-                self.standing.on_run(self)
+        if not self.access.run_started:
+            self.access.run_started = True
+            if self.access.on_run_started is not None:
+                self.access.on_run_started(self)
 
     @property
-    def on_time_s(self) -> float:
+    def target_left_s(self) -> float:
         """Return the seconds from now within which an answer meets its target latency.
 
         This is 0 for a retry of the caller, whose time has run since its first
         attempt.
         """
-        if self.returned:
+        if self.caller_retry:
             return 0
-        return self.req.arrived + self.route.target_s - trio.current_time()
+        return self.req.arrived_at + self.route.target_s - trio.current_time()
 
     def was_on_time(self, took_s: float) -> bool:
         """Return whether a request that took ``took_s`` met its target latency.
 
         For streams, the first event and each pause must meet their limits.
         """
-        if self.returned or self.reply.unfinished or not successful(self.reply.status):
+        if self.caller_retry or self.reply.unfinished or not is_success(self.reply.status):
             return False
         if not self.route.streamed:
             return took_s <= self.route.target_s
-        first_at = self.notes.first_at or trio.current_time()
-        if first_at - self.req.arrived > self.route.target_s:
+        first_at = self.trace.first_output_at or trio.current_time()
+        if first_at - self.req.arrived_at > self.route.target_s:
             return False
-        return not self.route.pause_s or self.notes.longest_pause_s <= self.route.pause_s
+        return not self.route.pause_s or self.trace.longest_pause_s <= self.route.pause_s
 
     @property
     def caller_left_s(self) -> float:
@@ -214,19 +218,19 @@
         return self.left_s if left_s is None else left_s
 
     @property
-    def first_left_s(self) -> float:
+    def first_output_left_s(self) -> float:
         """Return the seconds left for the first part of the answer."""
-        return self.first_deadline - trio.current_time()
+        return self.first_output_deadline - trio.current_time()
 
     @property
     def left_s(self) -> float:
         """Return the seconds that a runner has left for its answer."""
-        return self.deadline - trio.current_time() - RETURN_S
+        return self.deadline - trio.current_time() - ANSWER_MARGIN_S
 
 
-def successful(status: int) -> bool:
+def is_success(status: int) -> bool:
     """Return whether ``status`` is a success (2xx)."""
     return FIRST_SUCCESS <= status < FIRST_REDIRECT
 
 
-__all__ = ('MIN_STREAM_PATIENCE_S', 'SOON_S', 'Job', 'Notes', 'OnRun', 'successful')
+__all__ = ('MIN_FIRST_EVENT_WAIT_S', 'RETRY_SOON_S', 'Job', 'RequestTrace', 'RunStartedCallback', 'is_success')
--- a/packages/sesamepoint/src/sesamepoint/front/told_apart.py
+++ b/packages/sesamepoint/src/sesamepoint/front/out_of_order.py
@@ -17,40 +17,40 @@
     from sesamepoint.platform.store import KeyedRecord
 
 
-class Place(NamedTuple):
+class Position(NamedTuple):
     """Position in the history of a topic; ordered by epoch of the store, then by offset."""
 
-    era: int
+    epoch: int
     end: int
 
 
-class ToldApart:
+class OutOfOrderUpdates:
     """The keys whose records come from out-of-order updates, with their positions."""
 
     def __init__(self) -> None:
         """Start without out-of-order updates."""
-        self._ahead: dict[str, Place] = {}
-        self._newest = Place(0, 0)
+        self._early_keys: dict[str, Position] = {}
+        self._newest = Position(0, 0)
 
-    def place_of(self, key: str, known: Place) -> Place:
+    def position_of(self, key: str, known: Position) -> Position:
         """Return up to which position ``key`` is known, if the whole topic is known up to ``known``."""
-        return max(self._ahead.get(key, known), known)
+        return max(self._early_keys.get(key, known), known)
 
-    def news(self, place: Place, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
+    def take_new(self, position: Position, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
         """Return the records to apply of an out-of-order update; none if a newer one was applied."""
-        if place <= self._newest:
+        if position <= self._newest:
             return []
-        self._newest = place
+        self._newest = position
         new_records = list(records)
-        self._ahead.update((record.key, place) for record in new_records)
+        self._early_keys.update((record.key, position) for record in new_records)
         return new_records
 
-    def current(self, place: Place, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
+    def drop_outdated(self, position: Position, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
         """Return the records of an in-order update without those that an out-of-order update superseded."""
-        kept = [record for record in records if self.place_of(record.key, place) == place]
-        if place >= self._newest:
-            self._ahead.clear()
+        kept = [record for record in records if self.position_of(record.key, position) == position]
+        if position >= self._newest:
+            self._early_keys.clear()
         return kept
 
 
-__all__ = ('Place', 'ToldApart')
+__all__ = ('OutOfOrderUpdates', 'Position')
--- a/packages/sesamepoint/src/sesamepoint/front/pages.py
+++ b/packages/sesamepoint/src/sesamepoint/front/pages.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sesamepoint import events
-from sesamepoint.http1.messages import RejectedMessageError
+from sesamepoint.http1.messages import RejectedRequestError
 from sesamepoint.http1.server import CallerGoneError, ServerConn, ServerLimits
 
 if TYPE_CHECKING:
@@ -22,14 +22,14 @@
 class Page:
     """Provides the status and text of one path."""
 
-    def __init__(self, text: Callable[[], bytes], good: Callable[[], bool]) -> None:
+    def __init__(self, text: Callable[[], bytes], is_healthy: Callable[[], bool]) -> None:
         """Take callbacks for the text and for the status: 200 if the second returns true, else 503."""
         self._text = text
-        self._good = good
+        self._is_healthy = is_healthy
 
-    def show(self) -> tuple[int, bytes]:
+    def render(self) -> tuple[int, bytes]:
         """Return the current status and text."""
-        return (STATUS_OK if self._good() else STATUS_UNAVAILABLE), self._text()
+        return (STATUS_OK if self._is_healthy() else STATUS_UNAVAILABLE), self._text()
 
 
 class Pages:
@@ -43,24 +43,24 @@
         """Serve one connection to its end; never raises."""
         conn = ServerConn(transport, ServerLimits())
         try:
-            await self._converse(conn)
-        except (CallerGoneError, RejectedMessageError):
+            await self._serve_requests(conn)
+        except (CallerGoneError, RejectedRequestError):
             return
         except Exception as exc:
             events.log_event(events.CONNECTION_BROKE, cause=repr(exc))
         finally:
             transport.close()
 
-    async def _converse(self, conn: ServerConn) -> None:
-        while await conn.first_byte():
-            message = await conn.request()
+    async def _serve_requests(self, conn: ServerConn) -> None:
+        while await conn.wait_for_request():
+            message = await conn.read_request()
             path = message.head.target.decode('latin-1').partition('?')[0]
             page = self._pages.get(path)
-            status, text = page.show() if page else (STATUS_NOT_FOUND, b'no such page')
-            await conn.whole(status, TEXT, text)
+            status, text = page.render() if page else (STATUS_NOT_FOUND, b'no such page')
+            await conn.send_whole(status, TEXT, text)
             if not conn.reusable:
                 return
-            conn.next_cycle()
+            conn.start_next_cycle()
 
 
 __all__ = ('Page', 'Pages')
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_messages.py
@@ -0,0 +1,163 @@
+"""Messages to peers on suspect requests, runners and configuration versions, and their send queue."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import TYPE_CHECKING, Annotated, NamedTuple
+
+import msgspec
+import trio
+
+from sesamepoint_core.runner_status.parsing import MAX_BACK_OFF_S
+from sesamepoint_core.serving.poison_requests import BoundedName, Incarnation
+from sesamepoint import events
+from sesamepoint.front.probes import Probe, ProbeState
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+# Messages are batched for this time, in seconds: when a runner ends, many
+# requests end with it.
+BATCH_DELAY_S = 0.002
+# Rows per datagram, so that it fits into one packet.
+MAX_ROWS = 24
+# Messages in the send queue; more pile up only while a link is full.
+MAX_QUEUED = 6144
+# No configuration has more versions than this.
+MAX_VERSION = 1_000_000_000_000
+Version = Annotated[int, msgspec.Meta(ge=0, le=MAX_VERSION)]
+# Age beyond which a reported status of a runner is not accepted, in seconds.
+MAX_AGE_S = 3600
+AgeS = Annotated[float, msgspec.Meta(ge=0, le=MAX_AGE_S)]
+BackOffS = Annotated[float, msgspec.Meta(ge=0, le=MAX_BACK_OFF_S)]
+
+
+class VersionMessage(msgspec.Struct, frozen=True, array_like=True, tag='version'):
+    """Configuration version in force at the sender; 0 if none is."""
+
+    entry: str
+    version: Version
+
+
+class ReportedStatus(StrEnum):
+    """Status of a runner that an instance learned from one of its answers."""
+
+    # Another incarnation than the registered one answers at the address.
+    replaced = 'replaced'
+    # The runner is draining.
+    leaving = 'leaving'
+    # The runner rejected a request and asked the instance to back off for a time.
+    resting = 'resting'
+
+
+class RunnerStatusMessage(msgspec.Struct, frozen=True, array_like=True, tag='runner'):
+    """Status of a runner that the sender learned from an answer ``age_s`` seconds before.
+
+    ``rest_s`` is the back-off that the runner asked for, in seconds, if it did.
+    """
+
+    entry: str
+    start: Incarnation
+    fact: ReportedStatus
+    age_s: AgeS = 0
+    rest_s: BackOffS = 0
+
+
+class RunnerEnd(NamedTuple):
+    """End of a runner while it ran a request."""
+
+    content_id: BoundedName
+    start: Incarnation
+
+
+class ProbeUpdate(NamedTuple):
+    """State of a probe of the sender."""
+
+    trial: Probe
+    state: ProbeState
+
+
+class SuspectUpdate(msgspec.Struct, frozen=True, array_like=True, tag='notice'):
+    """Batch of what the sender found out about suspect requests.
+
+    Parameters
+    ----------
+    served
+        Suspect requests that were answered in full.
+    quarantined
+        Requests that ended a runner while they ran on it alone.
+    """
+
+    entry: str
+    ends: tuple[RunnerEnd, ...] = ()
+    trials: tuple[ProbeUpdate, ...] = ()
+    served: tuple[BoundedName, ...] = ()
+    quarantined: tuple[BoundedName, ...] = ()
+
+
+QueuedMessage = SuspectUpdate | VersionMessage | RunnerStatusMessage
+
+
+class Outgoing(NamedTuple):
+    """Queued message and its recipient; an empty recipient stands for all peers."""
+
+    recipient: str
+    message: QueuedMessage
+
+
+class SendQueue:
+    """Queue of messages to peers; drops messages instead of blocking if it is full."""
+
+    def __init__(self) -> None:
+        """Start with an empty queue."""
+        self._pending = trio.Event()
+        self._queue: list[Outgoing] = []
+
+    def enqueue(self, message: QueuedMessage, recipient: str = '') -> None:
+        """Queue a message for one peer, or for all peers."""
+        if len(self._queue) < MAX_QUEUED:
+            self._queue.append(Outgoing(recipient, message))
+        else:
+            events.log_event(events.UPDATE_DROPPED, notice=repr(message))
+        self._pending.set()
+
+    async def next_batch(self) -> list[Outgoing]:
+        """Wait for a message and return the queued ones; updates on suspects to all peers are merged."""
+        await self._pending.wait()
+        await trio.sleep(BATCH_DELAY_S)
+        self._pending = trio.Event()
+        queued = self._queue
+        self._queue = []
+        to_all = [
+            outgoing.message
+            for outgoing in queued
+            if not outgoing.recipient and isinstance(outgoing.message, SuspectUpdate)
+        ]
+        chunks = (to_all[start : start + MAX_ROWS] for start in range(0, len(to_all), MAX_ROWS))
+        unmerged = (
+            outgoing for outgoing in queued if outgoing.recipient or not isinstance(outgoing.message, SuspectUpdate)
+        )
+        return [*unmerged, *(Outgoing('', _merge(chunk)) for chunk in chunks)]
+
+
+def _merge(updates: Sequence[SuspectUpdate]) -> SuspectUpdate:
+    return SuspectUpdate(
+        updates[0].entry,
+        ends=tuple(row for notice in updates for row in notice.ends),
+        trials=tuple(row for notice in updates for row in notice.trials),
+        served=tuple(row for notice in updates for row in notice.served),
+        quarantined=tuple(row for notice in updates for row in notice.quarantined),
+    )
+
+
+__all__ = (
+    'MAX_ROWS',
+    'Outgoing',
+    'ProbeUpdate',
+    'ReportedStatus',
+    'RunnerEnd',
+    'RunnerStatusMessage',
+    'SendQueue',
+    'SuspectUpdate',
+    'VersionMessage',
+)
