--- a/packages/sesamepoint/src/sesamepoint/front/peers.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peers.py
@@ -10,47 +10,56 @@
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint_core.serving.address import Address
 from sesamepoint import events
-from sesamepoint.front.limit_words import AskWord, GrantWord
+from sesamepoint.front.engine_sends import SendUpdate
+from sesamepoint.front.limit_messages import PermitGrantMessage, PermitRequestMessage
 from sesamepoint.front.membership import Membership
-from sesamepoint.front.news import News
-from sesamepoint.front.notices import Notice, RunnerNote, VersionNote
-from sesamepoint.front.sends import Word
-from sesamepoint.front.usage_words import DutyWord, UsageWord
-from sesamepoint.platform.names import ENTRY_TOPIC
+from sesamepoint.front.peer_messages import RunnerStatusMessage, SuspectUpdate, VersionMessage
+from sesamepoint.front.topic_updates import TopicUpdate
+from sesamepoint.front.usage_messages import DutyMessage, UsageMessage
 from sesamepoint.platform.store import KeyedRecord
+from sesamepoint.platform.wire_names import INSTANCE_TOPIC
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from sesamepoint.front.known_engines import KnownEngines
+    from sesamepoint.front.engine_sends import SendTracker
+    from sesamepoint.front.engine_subset import EngineSubset
     from sesamepoint.front.peer_network import PeerNetwork
     from sesamepoint.front.quarantine import Quarantine
-    from sesamepoint.front.sends import SendNotes
     from sesamepoint.front.settings import FrontSettings
     from sesamepoint.platform.store import StoreClient
 
 # Sends are batched for this long, in seconds, before they are broadcast. Long
 # work waits for it.
-GATHER_S = 0.002
+BATCH_DELAY_S = 0.002
 # Short work is broadcast within this time, in seconds, in one batch with
 # everything else that is pending. Broadcasting it at once took ten datagrams
 # per request and half of the processor.
-LAZY_S = 0.05
+FLUSH_INTERVAL_S = 0.05
 # Pause before a failed registration is repeated, in seconds.
-REGISTER_AGAIN_S = 1.0
+REGISTER_RETRY_S = 1.0
 # A stop waits for the store no longer than this, in seconds; a working store
 # answers in milliseconds.
-WITHDRAW_S = 0.3
+WITHDRAW_TIMEOUT_S = 0.3
 # How often to check whether the instance that polls the list of instances is
 # due a heartbeat, in seconds.
-LOOK_S = 1.0
+HEARTBEAT_CHECK_S = 1.0
 # An instance that received nothing from any peer for this long, in seconds, may
 # have been cut off or frozen, and may have missed updates. Under load messages
 # arrive every 50 ms; without load, once in three seconds.
-DEAF_S = 2.0
+ISOLATION_S = 2.0
 
 
-PeerWord = News | Notice | VersionNote | DutyWord | UsageWord | AskWord | GrantWord | RunnerNote
+PeerMessage = (
+    TopicUpdate
+    | SuspectUpdate
+    | VersionMessage
+    | DutyMessage
+    | UsageMessage
+    | PermitRequestMessage
+    | PermitGrantMessage
+    | RunnerStatusMessage
+)
 
 
 class Peers:
@@ -59,13 +68,13 @@
     def __init__(
         self,
         cfg: FrontSettings,
-        sends: SendNotes,
+        sends: SendTracker,
         quarantine: Quarantine,
-        known: KnownEngines,
+        engine_subset: EngineSubset,
         network: PeerNetwork,
     ) -> None:
         """Start without peers; the subset of known engines decides which peers a send concerns."""
-        self._known = known
+        self._engine_subset = engine_subset
         self._network = network
         self._cfg = cfg
         self._sends = sends
@@ -73,24 +82,33 @@
         self.registered = False
         self._addresses: dict[str, Address] = {}
         # Handlers of messages from peers, by message type.
-        self.on_word: dict[type, Callable[[Any], None]] = {
-            kind: _pass_over for kind in (News, VersionNote, DutyWord, UsageWord, AskWord, GrantWord, RunnerNote)
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            kind: _ignore
+            for kind in (
+                TopicUpdate,
+                VersionMessage,
+                DutyMessage,
+                UsageMessage,
+                PermitRequestMessage,
+                PermitGrantMessage,
+                RunnerStatusMessage,
+            )
         }
         # Called with the name of a peer that has just registered.
-        self.on_newcomer: list[Callable[[str], None]] = [quarantine.tell_newcomer]
+        self.on_peer_joined: list[Callable[[str], None]] = [quarantine.announce_to]
         # Called on the first message after a time without any.
-        self.hear_again: Callable[[], None] = _do_nothing
+        self.on_reconnect: Callable[[], None] = _do_nothing
         self.name = cfg.name
-        self._heard_at: float = 0
+        self._received_at: float = 0
         self._quarantine = quarantine
-        self.outbox = quarantine.outbox
+        self.send_queue = quarantine.send_queue
 
     def count(self) -> int:
         """Return the number of registered instances, including this one."""
         return len(self._addresses.keys() | {self._cfg.name})
 
     def replace_all(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Replace the list of instances by ``records``."""
+        """Replace the list of instances by ``record_queue``."""
         for name in self._addresses.keys() - {record.key for record in records}:
             self.update(KeyedRecord(name, b''))
         for record in records:
@@ -99,23 +117,23 @@
     def update(self, record: KeyedRecord) -> bool:
         """Apply the newest record of one instance; return whether its address changed."""
         old_address = self._addresses.pop(record.key, None)
-        address = _address(record)
+        address = _decode_address(record)
         if address is None:
             self.members.leave(record.key)
-            self._sends.backlog.forget(record.key)
+            self._sends.backlog.forget_peer(record.key)
             return old_address is not None
         self._addresses[record.key] = address
         self.members.join(record.key, trio.current_time())
         if address != old_address and record.key in self.members:
-            for callback in self.on_newcomer:
+            for callback in self.on_peer_joined:
                 callback(record.key)
         return address != old_address
 
     async def register(self, store: StoreClient) -> None:
         """Write the address on which this instance listens for peers to the store."""
         own_address = str(self._cfg.peer_listen).encode()
-        while not await self._put(store, self._cfg.name, own_address):
-            await trio.sleep(REGISTER_AGAIN_S)
+        while not await self._put_record(store, self._cfg.name, own_address):
+            await trio.sleep(REGISTER_RETRY_S)
         self.registered = True
 
     async def withdraw(self, store: StoreClient) -> None:
@@ -125,132 +143,134 @@
         the retry budget and send it messages, until they declare it dead.
         """
         self.registered = False
-        with trio.move_on_after(WITHDRAW_S):
-            await self._put(store, self._cfg.name, b'')
+        with trio.move_on_after(WITHDRAW_TIMEOUT_S):
+            await self._put_record(store, self._cfg.name, b'')
 
-    async def drop_lost(self, store: StoreClient, *, reading: bool) -> None:
+    async def drop_failed(self, store: StoreClient, *, polling: bool) -> None:
         """Remove the records of failed peers, if this instance polls the list of instances for all."""
-        self.members.listen(trio.current_time(), reading=reading)
-        for failed in self.members.lost(trio.current_time()):
-            events.log_event(events.ENTRY_LOST, entry=failed.name, silent_s=round(failed.silent_s, 1))
-            if not await self._put(store, failed.name, b''):
+        self.members.check_isolation(trio.current_time(), polling=polling)
+        for failed in self.members.failed_peers(trio.current_time()):
+            events.log_event(events.PEER_DECLARED_DEAD, entry=failed.name, silent_s=round(failed.silent_s, 1))
+            if not await self._put_record(store, failed.name, b''):
                 return
 
-    async def keep_alive(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats to the instance that polls the list, if nothing else was sent to it, until cancelled."""
-        heartbeat = msgspec.msgpack.encode(Word(self._cfg.name, (), ()))
+        heartbeat = msgspec.msgpack.encode(SendUpdate(self._cfg.name, (), ()))
         while True:
-            await trio.sleep(LOOK_S)
-            poller = self.members.untold(trio.current_time())
+            await trio.sleep(HEARTBEAT_CHECK_S)
+            poller = self.members.heartbeat_due(trio.current_time())
             if poller is not None:
-                await self._tell(heartbeat, poller)
+                await self._send(heartbeat, poller)
 
     async def listen(self) -> None:
         """Receive messages from peers until cancelled."""
-        await self._network.receive(self._cfg.peer_listen, self.take)
+        await self._network.receive(self._cfg.peer_listen, self.on_datagram)
 
-    async def tell(self) -> None:
+    async def broadcast_sends(self) -> None:
         """Broadcast the sends of this instance until cancelled."""
         while True:
-            await self._sends.fresh.wait()
-            with trio.move_on_after(LAZY_S):
-                await self._sends.urgent.wait()
-            await trio.sleep(GATHER_S)
-            announced = self._sends.told
-            await self._tell_all(self._sends.drain())
+            await self._sends.pending.wait()
+            with trio.move_on_after(FLUSH_INTERVAL_S):
+                await self._sends.flush.wait()
+            await trio.sleep(BATCH_DELAY_S)
+            announced = self._sends.flushed
+            await self._broadcast(self._sends.take_pending())
             announced.set()
 
-    def take(self, datagram: bytes) -> None:
+    def on_datagram(self, datagram: bytes) -> None:
         """Decode one datagram and pass its message on; log and drop one that does not decode."""
         try:
-            message = msgspec.msgpack.decode(datagram, type=Word | PeerWord)
+            message = msgspec.msgpack.decode(datagram, type=SendUpdate | PeerMessage)
         except msgspec.DecodeError as exc:
             events.log_event(events.DATAGRAM_UNREADABLE, cause=str(exc))
             return
-        self._note_heard(message.entry)
-        if isinstance(message, Word):
-            self._sends.heard(message)
+        self._note_received(message.entry)
+        if isinstance(message, SendUpdate):
+            self._sends.on_peer_update(message)
         elif message.entry in self.members:
-            self._take_from_member(message)
+            self._dispatch(message)
 
-    async def tell_news(self, news: News) -> None:
+    async def broadcast_update(self, topic_update: TopicUpdate) -> None:
         """Broadcast to all peers what this instance has read in the store."""
-        await self.tell_to(self.others(), news)
+        await self.send_to(self.peer_names(), topic_update)
 
-    def others(self) -> list[str]:
+    def peer_names(self) -> list[str]:
         """Return the names of the peers."""
         return [name for name in self._addresses if name != self._cfg.name]
 
-    def address_of(self, entry: str) -> Address | None:
+    def address_of(self, peer: str) -> Address | None:
         """Return the address on which a peer listens for its peers; None if it is not registered."""
-        return self._addresses.get(entry)
+        return self._addresses.get(peer)
 
-    async def tell_to(self, names: Sequence[str], word: PeerWord) -> None:
-        """Send a message to the peers called ``names``."""
-        datagram = msgspec.msgpack.encode(word)
+    async def send_to(self, names: Sequence[str], message: PeerMessage) -> None:
+        """Send a message to the peers called ``wire_names``."""
+        datagram = msgspec.msgpack.encode(message)
         for name in names:
-            await self._tell(datagram, name)
+            await self._send(datagram, name)
 
-    async def tell_notices(self) -> None:
+    async def send_queued(self) -> None:
         """Send the messages of the send queue, until cancelled."""
         while True:
-            batch = await self._quarantine.outbox.next_letters()
+            batch = await self._quarantine.send_queue.next_batch()
             for outgoing in batch:
-                await self.tell_to([outgoing.to] if outgoing.to else self.others(), outgoing.word)
+                await self.send_to([outgoing.recipient] if outgoing.recipient else self.peer_names(), outgoing.message)
 
-    def _note_heard(self, entry: str) -> None:
+    def _note_received(self, sender: str) -> None:
         now = trio.current_time()
-        self.members.heard(entry, now)
-        if now - self._heard_at > DEAF_S:
-            self.hear_again()
-        self._heard_at = now
-
-    def _take_from_member(self, word: PeerWord) -> None:
-        if isinstance(word, Notice):
-            self._quarantine.heard(word)
+        self.members.note_received(sender, now)
+        if now - self._received_at > ISOLATION_S:
+            self.on_reconnect()
+        self._received_at = now
+
+    def _dispatch(self, message: PeerMessage) -> None:
+        if isinstance(message, SuspectUpdate):
+            self._quarantine.on_suspect_update(message)
         else:
-            self.on_word[type(word)](word)
+            self.handlers[type(message)](message)
 
-    async def _tell_all(self, word: Word) -> None:
-        unfiltered = msgspec.msgpack.encode(word)
-        whole = self._known.whole
-        for name in self.others():
-            datagram = unfiltered if whole else self._concerning(name, word)
+    async def _broadcast(self, message: SendUpdate) -> None:
+        unfiltered = msgspec.msgpack.encode(message)
+        whole = self._engine_subset.covers_fleet
+        for name in self.peer_names():
+            datagram = unfiltered if whole else self._encode_for(name, message)
             if datagram:
-                await self._tell(datagram, name)
+                await self._send(datagram, name)
 
-    def _concerning(self, peer: str, word: Word) -> bytes:
+    def _encode_for(self, peer: str, message: SendUpdate) -> bytes:
         """Encode the sends and ends at engines that ``peer`` uses; return nothing if there are none.
 
         Without the filter each of 300 instances received about a thousand
         sends per second. The load of an engine matters only to the instances
         that use it.
         """
-        sends = tuple(send for send in word.sends if self._known.at(peer, send.runner))
-        ends = tuple(end for end in word.ends if self._known.at(peer, end.runner))
-        return msgspec.msgpack.encode(msgspec.structs.replace(word, sends=sends, ends=ends)) if sends or ends else b''
+        sends = tuple(send for send in message.sends if self._engine_subset.contains_at(peer, send.runner))
+        ends = tuple(end for end in message.ends if self._engine_subset.contains_at(peer, end.runner))
+        return (
+            msgspec.msgpack.encode(msgspec.structs.replace(message, sends=sends, ends=ends)) if sends or ends else b''
+        )
 
-    async def _put(self, store: StoreClient, name: str, text: bytes) -> bool:
+    async def _put_record(self, store: StoreClient, name: str, text: bytes) -> bool:
         try:
-            await store.put(ENTRY_TOPIC, name, text)
+            await store.put(INSTANCE_TOPIC, name, text)
         except PlatformUnavailableError as exc:
-            events.log_event(events.REGISTER_FAILED, entry=name, cause=str(exc))
+            events.log_event(events.REGISTRATION_FAILED, entry=name, cause=str(exc))
             return False
         return True
 
-    async def _tell(self, datagram: bytes, name: str) -> None:
+    async def _send(self, datagram: bytes, name: str) -> None:
         address = self._addresses.get(name)
         if address is None:
             # It was removed while the message was sent to other peers.
             return
-        self.members.told(name, trio.current_time())
+        self.members.note_sent(name, trio.current_time())
         try:
             await self._network.send(datagram, address)
         except OSError as exc:
             events.log_event(events.PEER_UNREACHABLE, peer=str(address), cause=repr(exc))
 
 
-def _address(record: KeyedRecord) -> Address | None:
+def _decode_address(record: KeyedRecord) -> Address | None:
     if not record.text:
         return None
     try:
@@ -264,7 +284,7 @@
     """Do nothing until the topics are followed."""
 
 
-def _pass_over(_: object) -> None:
+def _ignore(_: object) -> None:
     """Ignore messages that have no handler."""
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/reading_turns.py
+++ b/packages/sesamepoint/src/sesamepoint/front/polling_turns.py
@@ -19,16 +19,16 @@
 # Polls in a row before an instance leaves the next one to a peer: the cost of
 # polling goes round within some minutes, and the instance that polls the list of
 # instances has the time to detect a failed one.
-READS_IN_A_ROW = 100
+POLLS_PER_TURN = 100
 # Each instance polls the store itself after this many seconds, even if it receives
 # all updates: a wrong update from a peer is corrected by then.
-CHECK_S = 60.0
+SELF_CHECK_S = 60.0
 # How much longer than usual a poll may take before peers poll too, in seconds: a
 # call of 4 ms, a datagram, and as much again if the polling instance is busy.
-MARGIN_S = 0.1
+TAKEOVER_MARGIN_S = 0.1
 # After a hint that there are changes, an instance polls the store within this
 # many seconds.
-NEWS_SPREAD_S = 0.05
+POLL_JITTER_S = 0.05
 
 
 class Pacing(NamedTuple):
@@ -46,12 +46,12 @@
         time, in seconds.
     """
 
-    wait_s: float
-    rest_s: float
-    spread_s: float
+    long_poll_s: float
+    pause_s: float
+    takeover_spread_s: float
 
 
-class ReadingTurns:
+class PollingTurns:
     """Decides when this instance polls one topic; does no input or output.
 
     Parameters
@@ -62,70 +62,70 @@
         Returns the number of instances, including this one.
     """
 
-    def __init__(self, pacing: Pacing, name: str, entries: Callable[[], int], rng: Random) -> None:
+    def __init__(self, pacing: Pacing, name: str, instance_count: Callable[[], int], rng: Random) -> None:
         """Make the first poll due at once, with no offset known."""
         self.due: float = 0
         self.end: int | None = None
         self._pacing = pacing
         self._name = name
-        self._entries = entries
+        self._instance_count = instance_count
         self._rng = rng
-        self._in_a_row = 0
-        self._own_turn = False
-        self._hinted = False
+        self._polls_in_turn = 0
+        self._has_turn = False
+        self._polls_for_itself = False
         self._check_at: float = 0
 
     @property
-    def reads_for_all(self) -> bool:
+    def polls_for_all(self) -> bool:
         """Tell whether this instance polls the topic for all."""
-        return self._own_turn
+        return self._has_turn
 
-    def begin(self) -> None:
+    def begin_poll(self) -> None:
         """Note that this instance is about to call the store."""
-        self._own_turn = self._own_turn or not self._hinted
+        self._has_turn = self._has_turn or not self._polls_for_itself
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Start over: the history since the last poll is gone."""
         self.end = None
 
-    def listed(self, end: int, now: float) -> None:
+    def note_listed(self, end: int, now: float) -> None:
         """Note that the whole topic was read, up to the offset ``end``.
 
         The next poll is due at once: after a failure of all instances, in
         which the list is lost as well, the runners register just then.
         """
-        self._was_read(end, now)
-        self._leave_off()
-        self._hinted = True
+        self._note_position(end, now)
+        self._end_turn()
+        self._polls_for_itself = True
         self.due = now
 
-    def read(self, end: int, now: float) -> bool:
+    def note_polled(self, end: int, now: float) -> bool:
         """Note that this instance polled the log up to ``end``; return whether to send an update.
 
         An instance that polled because of a hint sends none, as all others got
         the same hint; nor does one whose turn ended while the store answered.
         """
-        broadcasts = self._own_turn
-        self._was_read(end, now)
-        self._in_a_row += 1
-        if self._entries() > 1 and (not broadcasts or self._in_a_row >= READS_IN_A_ROW):
-            self._leave_off()
-            self.due = now + self._silence_s()
+        broadcasts = self._has_turn
+        self._note_position(end, now)
+        self._polls_in_turn += 1
+        if self._instance_count() > 1 and (not broadcasts or self._polls_in_turn >= POLLS_PER_TURN):
+            self._end_turn()
+            self.due = now + self._takeover_delay_s()
         else:
-            self.due = now + self._pacing.rest_s
+            self.due = now + self._pacing.pause_s
         return broadcasts
 
-    def failed(self, again_s: float, now: float) -> None:
+    def note_failed(self, retry_s: float, now: float) -> None:
         """Note that the store did not answer; poll again after a pause.
 
         The store may refuse this instance alone: if updates from peers arrive
         meanwhile, this instance stops calling.
         """
-        self._leave_off()
-        self.due = now + again_s
+        self._end_turn()
+        self.due = now + retry_s
 
-    def told(self, teller: str, start: int, end: int, now: float) -> bool:
-        """Note an update from a peer that polled from ``start`` up to ``end``.
+    def note_update(self, sender: str, start: int, end: int, now: float) -> bool:
+        """Note an update from a peer that polled from ``incarnation`` up to ``end``.
 
         Return whether the update follows on the offset that is known here. An
         update that arrives late, after a freeze or over a slow path, ends before
@@ -134,36 +134,36 @@
         if self.end is None or end < self.end:
             return False
         if start > self.end:
-            self.hint(now)
+            self.request_poll(now)
             return False
         self.end = end
-        self._hinted = False
-        if self._own_turn and teller > self._name:
+        self._polls_for_itself = False
+        if self._has_turn and sender > self._name:
             # Two instances poll at the same time; the other one ends its turn.
             return True
-        self._leave_off()
-        self.due = now + self._silence_s()
+        self._end_turn()
+        self.due = now + self._takeover_delay_s()
         if self._check_at <= self.due:
             # A check by this instance alone is no polling turn, and sends no update.
-            self._hinted = True
+            self._polls_for_itself = True
             self.due = max(self._check_at, now)
         return True
 
-    def hint(self, now: float) -> None:
+    def request_poll(self, now: float) -> None:
         """Make a poll due soon, for changes that no update contains."""
-        self._hinted = True
-        self.due = min(self.due, now + self._rng.uniform(0, NEWS_SPREAD_S))
+        self._polls_for_itself = True
+        self.due = min(self.due, now + self._rng.uniform(0, POLL_JITTER_S))
 
-    def _leave_off(self) -> None:
-        self._own_turn = False
-        self._in_a_row = 0
+    def _end_turn(self) -> None:
+        self._has_turn = False
+        self._polls_in_turn = 0
 
-    def _was_read(self, end: int, now: float) -> None:
-        self._hinted = False
+    def _note_position(self, end: int, now: float) -> None:
+        self._polls_for_itself = False
         self.end = max(end, self.end or 0)
-        self._check_at = now + CHECK_S
+        self._check_at = now + SELF_CHECK_S
 
-    def _silence_s(self) -> float:
+    def _takeover_delay_s(self) -> float:
         """Return how long to go without an update before taking over the polling, in seconds.
 
         The density of the random part grows exponentially towards the end of its
@@ -171,10 +171,10 @@
         enough for its update to arrive before the next one polls. Multicast
         receivers suppress duplicate feedback in the same way.
         """
-        steepness = 1 + math.log(max(self._entries(), 1))
+        steepness = 1 + math.log(max(self._instance_count(), 1))
         drawn = math.log1p(self._rng.random() * math.expm1(steepness)) / steepness
         pacing = self._pacing
-        return pacing.wait_s + pacing.rest_s + MARGIN_S + pacing.spread_s * drawn
+        return pacing.long_poll_s + pacing.pause_s + TAKEOVER_MARGIN_S + pacing.takeover_spread_s * drawn
 
 
-__all__ = ('Pacing', 'ReadingTurns')
+__all__ = ('Pacing', 'PollingTurns')
--- a/packages/sesamepoint/src/sesamepoint/front/prefill.py
+++ b/packages/sesamepoint/src/sesamepoint/front/prefill.py
@@ -9,16 +9,16 @@
 import trio
 
 from sesamepoint import events
-from sesamepoint.front.gate import GateClosedError, Purpose, SendKind
-from sesamepoint.front.results import Withheld
+from sesamepoint.front.attempt_results import Withheld
+from sesamepoint.front.send_check import SendBlockedError, SendKind, SendPurpose
 from sesamepoint.http1.messages import ConnBrokenError, ConnectFailedError
-from sesamepoint.platform.engine_calls import free_handle
-from sesamepoint.platform.headers import answers, encode_request, replaced
+from sesamepoint.platform.engine_cache_calls import free_kv_handle
+from sesamepoint.platform.headers import encode_request, is_other_incarnation, matches_request
 from sesamepoint.single_error import single_error
 
 if TYPE_CHECKING:
     from sesamepoint.front.attempt import Target
-    from sesamepoint.front.member import Member
+    from sesamepoint.front.fleet_member import Member
     from sesamepoint.front.reply import Reply
     from sesamepoint.front.request import FrontRequest
     from sesamepoint.http1.client import ClientConn
@@ -27,9 +27,9 @@
 STATUS_OK = 200
 # Timeout of a call that frees a handle. It may fail: the runner frees the memory itself
 # when the handle expires.
-FREE_S = 1.0
+FREE_TIMEOUT_S = 1.0
 # Queue length of handles to be freed; it fills up only while a runner hangs.
-MAX_WAITING = 256
+MAX_QUEUED_HANDLES = 256
 
 
 class Prefilled(NamedTuple):
@@ -57,7 +57,7 @@
 
     cause: str
     # Whether no answer came before the timeout.
-    silent: bool = False
+    timed_out: bool = False
     replaced: bool = False
     ended: bool = False
 
@@ -67,17 +67,17 @@
 
 
 async def prefill(req: FrontRequest, target: Target, reply: Reply) -> Prefilled | PrefillFailed | Withheld:
-    """Send the prompt of ``req`` to ``target`` for prefill, if the caller of ``reply`` is still connected."""
+    """Send the prompt of ``req`` to ``owner`` for prefill, if the caller of ``reply`` is still connected."""
     member = target.member
-    ticket = member.health.sent(trio.current_time())
+    ticket = member.health.note_sent(trio.current_time())
     member.in_flight += 1
     try:
-        with trio.move_on_after(target.patience_s):
+        with trio.move_on_after(target.silence_timeout_s):
             return await _exchange(req, target, reply)
     finally:
         member.in_flight -= 1
-        member.health.settled(ticket)
-    return PrefillFailed('no answer in time', silent=True)
+        member.health.note_settled(ticket)
+    return PrefillFailed('no answer in time', timed_out=True)
 
 
 async def _exchange(req: FrontRequest, target: Target, reply: Reply) -> Prefilled | PrefillFailed | Withheld:
@@ -89,32 +89,32 @@
     try:
         with single_error():
             reply.check_caller()
-            head, body = await _converse(req, target, conn)
-    except GateClosedError as exc:
+            head, body = await _send_and_receive(req, target, conn)
+    except SendBlockedError as exc:
         return Withheld(exc.condition)
     except ConnBrokenError as exc:
         return PrefillFailed(str(exc), ended=await member.has_ended())
     finally:
-        member.give_back(conn)
-    member.health.heard(trio.current_time())
+        member.release(conn)
+    member.health.note_activity(trio.current_time())
     return _decode(member, head, body)
 
 
 def _decode(member: Member, head: ResponseHead, body: bytes) -> Prefilled | PrefillFailed:
     if head.status != STATUS_OK:
-        return PrefillFailed(f'status {head.status}', replaced=replaced(head, member.runner.key))
+        return PrefillFailed(f'status {head.status}', replaced=is_other_incarnation(head, member.runner.key))
     try:
         return Prefilled(member, msgspec.json.decode(body, type=_HandleReply).kv_handle)
     except msgspec.DecodeError as exc:
         return PrefillFailed(str(exc))
 
 
-async def _converse(req: FrontRequest, target: Target, conn: ClientConn) -> tuple[ResponseHead, bytes]:
-    wire = conn.begin(encode_request(req, target.sending), req.body)
+async def _send_and_receive(req: FrontRequest, target: Target, conn: ClientConn) -> tuple[ResponseHead, bytes]:
+    wire = conn.start_request(encode_request(req, target.sending), req.body)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(conn.send_quietly, wire)
-        head = await conn.head(partial(answers, req))
-        body = await conn.rest()
+        nursery.start_soon(conn.send_ignoring_errors, wire)
+        head = await conn.read_head(partial(matches_request, req))
+        body = await conn.read_rest()
         nursery.cancel_scope.cancel()
     return head, body
 
@@ -124,43 +124,43 @@
 
     def __init__(self) -> None:
         """Start with an empty queue."""
-        channel = trio.open_memory_channel[Prefilled](MAX_WAITING)
-        self._send = channel[0]
-        self._receive = channel[1]
+        channel = trio.open_memory_channel[Prefilled](MAX_QUEUED_HANDLES)
+        self._send_channel = channel[0]
+        self._receive_channel = channel[1]
 
-    def drop(self, prefilled: Prefilled) -> None:
+    def reclaim(self, prefilled: Prefilled) -> None:
         """Queue ``prefilled`` to be freed; if the queue is full, its handle is left to expire."""
         try:
-            self._send.send_nowait(prefilled)
+            self._send_channel.send_nowait(prefilled)
         except trio.WouldBlock:
             events.log_event(
-                events.HANDLE_LEFT, runner=prefilled.member.runner.key, cause='too many handles are queued'
+                events.HANDLE_NOT_FREED, runner=prefilled.member.runner.key, cause='too many handles are queued'
             )
 
     async def run(self) -> None:
         """Free handles until cancelled."""
-        async for prefilled in self._receive:
-            with trio.move_on_after(FREE_S):
+        async for prefilled in self._receive_channel:
+            with trio.move_on_after(FREE_TIMEOUT_S):
                 await self._free(prefilled)
 
     async def _free(self, prefilled: Prefilled) -> None:
         """Free a handle; it expires by itself if the runner may not be called or the call fails."""
         member = prefilled.member
         runner = member.runner
-        purpose = Purpose(SendKind.free_memory)
-        condition = member.closed_to(purpose)
+        purpose = SendPurpose(SendKind.free_memory)
+        condition = member.blocking_condition(purpose)
         if condition:
-            return events.log_event(events.HANDLE_LEFT, runner=runner.key, cause=condition)
+            return events.log_event(events.HANDLE_NOT_FREED, runner=runner.key, cause=condition)
         try:
             conn = await member.connection(purpose)
         except ConnectFailedError as exc:
-            return events.log_event(events.HANDLE_LEFT, runner=runner.key, cause=str(exc))
+            return events.log_event(events.HANDLE_NOT_FREED, runner=runner.key, cause=str(exc))
         try:
-            await free_handle(conn, runner.address, prefilled.kv_handle)
-        except (ConnBrokenError, GateClosedError) as exc:
-            events.log_event(events.HANDLE_LEFT, runner=runner.key, cause=str(exc))
+            await free_kv_handle(conn, runner.address, prefilled.kv_handle)
+        except (ConnBrokenError, SendBlockedError) as exc:
+            events.log_event(events.HANDLE_NOT_FREED, runner=runner.key, cause=str(exc))
         finally:
-            member.give_back(conn)
+            member.release(conn)
 
 
 __all__ = ('HandleReclaimer', 'PrefillFailed', 'Prefilled', 'prefill')
--- a/packages/sesamepoint/src/sesamepoint/front/trials.py
+++ b/packages/sesamepoint/src/sesamepoint/front/probes.py
@@ -7,14 +7,14 @@
 
 import trio
 
-from sesamepoint_core.serving.suspects import Name
+from sesamepoint_core.serving.poison_requests import BoundedName
 
 # A claim expires after this long, in seconds, if its end is not announced: an
 # instance that has died must not keep a request waiting. Callers wait for 3 to 5 s.
-BELIEVED_S = 5.0
+CLAIM_TTL_S = 5.0
 
 
-class TrialState(StrEnum):
+class ProbeState(StrEnum):
     """State of a probe."""
 
     claimed = 'claimed'
@@ -22,72 +22,72 @@
     ended = 'ended'
 
 
-class Trial(NamedTuple):
+class Probe(NamedTuple):
     """A suspect request and the runner that runs it alone."""
 
-    content_id: Name
-    runner: Name
+    content_id: BoundedName
+    runner: BoundedName
 
 
 class _Claim(NamedTuple):
-    at: float
+    claimed_at: float
     sent: bool
 
 
-class Trials:
+class Probes:
     """Claims of probes: at most one probe per request and one per runner at a time.
 
     If two requests were probed at one runner, its end would count against both,
     and a harmless one would be quarantined.
     """
 
-    def __init__(self, entry: str) -> None:
+    def __init__(self, instance: str) -> None:
         """Start without claims at the instance of the given name."""
         self.changed = trio.Event()
-        self._entry = entry
-        self._claims: dict[tuple[str, Trial], _Claim] = {}
+        self._instance = instance
+        self._claims: dict[tuple[str, Probe], _Claim] = {}
 
-    def note(self, entry: str, trial: Trial, state: TrialState) -> None:
+    def note(self, instance: str, probe: Probe, state: ProbeState) -> None:
         """Note the state of a probe of this instance or a peer."""
-        if state is not TrialState.ended:
-            self._claims[entry, trial] = _Claim(trio.current_time(), state is TrialState.sent)
+        if state is not ProbeState.ended:
+            self._claims[instance, probe] = _Claim(trio.current_time(), state is ProbeState.sent)
             return
-        self._claims.pop((entry, trial), None)
+        self._claims.pop((instance, probe), None)
         self.changed.set()
         self.changed = trio.Event()
 
-    def tried(self, content_id: str) -> bool:
+    def request_claimed(self, content_id: str) -> bool:
         """Tell whether any instance probes a request, or has claimed to."""
-        self._forget()
+        self._drop_expired()
         return any(probe.content_id == content_id for _, probe in self._claims)
 
-    def taken(self, runner: str) -> bool:
+    def runner_claimed(self, runner: str) -> bool:
         """Tell whether any request is probed at ``runner``, or claimed to be."""
-        self._forget()
+        self._drop_expired()
         return any(probe.runner == runner for _, probe in self._claims)
 
-    def won(self, own: Trial) -> bool:
+    def has_precedence(self, own: Probe) -> bool:
         """Tell whether this instance's claim precedes all conflicting ones.
 
         A probe that was sent precedes all claims; otherwise the least instance
         name wins.
         """
-        self._forget()
+        self._drop_expired()
         return not any(
-            claim.sent or (instance, probe) < (self._entry, own)
+            claim.sent or (instance, probe) < (self._instance, own)
             for (instance, probe), claim in self._claims.items()
-            if (instance, probe) != (self._entry, own) and _in_the_way(probe, own)
+            if (instance, probe) != (self._instance, own) and _conflicts(probe, own)
         )
 
-    def _forget(self) -> None:
-        since = trio.current_time() - BELIEVED_S
-        expired = [key for key, claim in self._claims.items() if claim.at < since]
+    def _drop_expired(self) -> None:
+        since = trio.current_time() - CLAIM_TTL_S
+        expired = [key for key, claim in self._claims.items() if claim.claimed_at < since]
         for key in expired:
             self._claims.pop(key)
 
 
-def _in_the_way(trial: Trial, own: Trial) -> bool:
-    return trial.content_id == own.content_id or trial.runner == own.runner
+def _conflicts(probe: Probe, own: Probe) -> bool:
+    return probe.content_id == own.content_id or probe.runner == own.runner
 
 
-__all__ = ('Trial', 'TrialState', 'Trials')
+__all__ = ('Probe', 'ProbeState', 'Probes')
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine_records.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine_records.py
@@ -8,7 +8,7 @@
 
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint import events
-from sesamepoint.platform.names import QUARANTINE_TOPIC
+from sesamepoint.platform.wire_names import QUARANTINE_TOPIC
 
 if TYPE_CHECKING:
     from random import Random
@@ -17,12 +17,12 @@
     from sesamepoint.platform.store import StoreClient
 
 # How often expired quarantines are looked for, in seconds.
-LAPSE_S = 60.0
+EXPIRY_CHECK_S = 60.0
 # Each instance draws a delay up to this, in seconds, before it writes the records
 # that the store has lost.
-RESTORE_SPREAD_S = 5.0
+RESTORE_JITTER_S = 5.0
 # Pause before a failed write is repeated, in seconds.
-WRITE_AGAIN_S = 1.0
+WRITE_RETRY_S = 1.0
 
 
 class QuarantineRecords:
@@ -36,9 +36,9 @@
 
     async def write(self) -> None:
         """Write each record until the store has it, until cancelled."""
-        async for key, text in self._quarantine.records[1]:
+        async for key, text in self._quarantine.record_queue[1]:
             while not await self._put(key, text):
-                await trio.sleep(WRITE_AGAIN_S)
+                await trio.sleep(WRITE_RETRY_S)
 
     async def restore(self) -> None:
         """Write the records that a store restored from an older copy has lost, until cancelled.
@@ -47,21 +47,21 @@
         the random delay most instances have already received the first write.
         """
         while True:
-            await self._quarantine.lacking.wait()
-            await trio.sleep(self._rng.uniform(0, RESTORE_SPREAD_S))
-            self._quarantine.write_lacking()
+            await self._quarantine.records_missing.wait()
+            await trio.sleep(self._rng.uniform(0, RESTORE_JITTER_S))
+            self._quarantine.write_missing()
 
-    async def end_lapsed(self) -> None:
+    async def end_expired(self) -> None:
         """End the quarantines that have expired, until cancelled."""
         while True:
-            await trio.sleep(LAPSE_S)
-            self._quarantine.release_lapsed()
+            await trio.sleep(EXPIRY_CHECK_S)
+            self._quarantine.release_expired()
 
     async def _put(self, key: str, text: bytes) -> bool:
         try:
             await self._client.put(QUARANTINE_TOPIC, key, text)
         except PlatformUnavailableError as exc:
-            events.log_event(events.QUARANTINE_UNWRITTEN, content=key, cause=str(exc))
+            events.log_event(events.QUARANTINE_NOT_STORED, content=key, cause=str(exc))
             return False
         return True
 
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/queue_triage.py
@@ -0,0 +1,247 @@
+"""Triage of queued requests: which can be on time, and how long each waits."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import trio
+
+from sesamepoint_core.serving.deadline_check import WaitingRequest, late_requests
+from sesamepoint_core.serving.runner import Stage
+from sesamepoint_core.units import whole_ms
+from sesamepoint import events
+from sesamepoint.front.backlog import Need, QueueKey, QueuedWork
+from sesamepoint.front.retry_after import capped_retry_after_s
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from sesamepoint_core.serving.prompt import Prompt
+    from sesamepoint_core.serving.routes import Configuration
+    from sesamepoint.front.backlog import Backlog
+    from sesamepoint.front.engine_plan import EnginePlan
+    from sesamepoint.front.job import Job
+    from sesamepoint.front.runner_selection import RunnerSelector
+
+# Work that an engine may have, in seconds, before requests are queued here: enough to
+# keep it busy for the 30 ms that an announcement to peers takes.
+MAX_ENGINE_BACKLOG_S = 0.1
+# The retry of a caller goes before first attempts from this many seconds before it can
+# no longer be answered. This covers the work that an engine may already have, and an
+# error of as much again.
+RETRY_SLACK_S = 0.3
+# A request with less slack than this many seconds, or than its work takes, can't be
+# answered any more. In bursts of 430 prompts no caller, or one, that was released later
+# than that stayed without an answer, with 0.2 s as with 0.3 s.
+MIN_SLACK_S = 0.2
+# Requests of fewer engine seconds are served late rather than refused: they delay others
+# by less than the gap between two long prompts, while their callers would have to wait
+# for a third of their time to retry.
+SMALL_WORK_S = 0.03
+
+
+class Waiter:
+    """One waiting request; ``wait_for_plan`` is final once the request is released or refused."""
+
+    def __init__(self, job: Job, prompt: Prompt, cfg: Configuration, plan: EnginePlan) -> None:
+        """Wait because the engines of ``wait_for_plan`` are too busy."""
+        self.job = job
+        self.prompt = prompt
+        self.cfg = cfg
+        self.plan: EnginePlan | None = plan
+        self.late = False
+        self.expected_s: float = 0
+        self.decided = trio.Event()
+        self.turn = WaitingRequest(0, 0)
+        self.update_plan(plan)
+
+    def update_plan(self, plan: EnginePlan) -> None:
+        """Replace the newest plan, which decides the queue."""
+        self.queue = queue_key_of(self.job, plan)
+        self._newest_plan = plan
+
+    def set_expected_wait(self, wait_s: float) -> None:
+        """Set the expected wait to ``wait_s``; the log line of the request has the first estimate."""
+        self.expected_s = wait_s
+        notes = self.job.trace
+        if notes.wait_expected_s is None:
+            notes.wait_expected_s = wait_s
+            notes.need = self.queue.need.value
+
+    def waits_for_permit_of(self, runner: str) -> bool:
+        """Tell whether it waits for a permit for prefill at ``runner``, by the newest plan."""
+        return not self._newest_plan.admitted and self._newest_plan.view.runner == runner
+
+    @property
+    def refusable(self) -> bool:
+        """Tell whether it may be refused: not once it was sent, since part of an answer may have gone out."""
+        return not self.job.sends
+
+    @property
+    def small(self) -> bool:
+        """Tell whether its work is so small that serving it late hardly delays others."""
+        return self.turn.work_s < SMALL_WORK_S
+
+    @property
+    def slack_s(self) -> float:
+        """Return for how many seconds it may still wait and be answered before its deadline."""
+        path = self._newest_plan.placement
+        return self.job.first_output_left_s - (path.first_s - self._newest_plan.view.wait_s)
+
+    @property
+    def urgent_retry(self) -> bool:
+        """Tell whether it is the retry of a caller and close to its latest start time; its caller won't retry again."""
+        return self.job.caller_retry and self.slack_s < RETRY_SLACK_S + self._newest_plan.placement.work_s
+
+    @property
+    def unservable(self) -> bool:
+        """Tell whether too little time is left for an answer."""
+        return self.slack_s < max(MIN_SLACK_S, self._newest_plan.placement.work_s)
+
+    def refuse(self, wait_s: float) -> None:
+        """Refuse the request; its caller may retry after ``wait_s``, capped to a share of the time that it has left."""
+        job = self.job
+        self.plan = None
+        job.retry_after_s = capped_retry_after_s(wait_s, job.caller_left_s)
+        job.trace.refused = True
+        events.log_event(
+            events.REQUEST_REFUSED,
+            request=job.req.request_id,
+            need=self.queue.need.value,
+            work_ms=whole_ms(self.turn.work_s),
+            due_ms=whole_ms(self.turn.due_s),
+            left_ms=whole_ms(job.first_output_left_s),
+            retry_after_s=job.retry_after_s,
+        )
+
+    def update_turn(self, slot_s: float) -> None:
+        """Compute by when an engine must have done its work, from now.
+
+        Parameters
+        ----------
+        slot_s
+            Seconds for which an answer of its route occupies an engine slot.
+        """
+        plan = self._newest_plan
+        after_s = plan.placement.first_s - plan.view.wait_s - plan.placement.work_s
+        work_s = plan.placement.work_s
+        if self.queue.need is Need.slot:
+            work_s = slot_s / plan.decode.runner.slots
+        self.turn = WaitingRequest(self.job.target_left_s - after_s, work_s)
+
+
+class QueueTriage:
+    """Finds the late requests of each queue, taking the queued work of peers into account."""
+
+    def __init__(self, selector: RunnerSelector, backlog: Backlog) -> None:
+        """Take engines from runner selection, and the queued work of peers from ``backlog``."""
+        self._selector = selector
+        self._backlog = backlog
+
+    def mark_late(self, waiters: Iterable[Waiter]) -> None:
+        """Mark which of the waiting requests are late, and publish the queued work to peers."""
+        queues: dict[QueueKey, list[Waiter]] = {}
+        for waiter in waiters:
+            queues.setdefault(waiter.queue, []).append(waiter)
+        for queued in queues.values():
+            self._triage_queue(queued)
+        self.publish(waiters)
+
+    def publish(self, waiters: Iterable[Waiter]) -> None:
+        """Set the queued work that peers are sent.
+
+        An empty queue is published too: otherwise requests that have gone would
+        keep raising the price of engines, and late requests would be refused for it.
+        """
+        by_target: dict[tuple[QueueKey, float], list[Waiter]] = {}
+        for waiter in waiters:
+            by_target.setdefault((waiter.queue, waiter.job.route.target_s), []).append(waiter)
+        self._backlog.own = tuple(map(_queued_work, by_target.values()))
+
+    def assess(self, newcomer: Waiter, queued: Sequence[Waiter]) -> None:
+        """Find out whether ``newcomer`` is late behind the requests due before it, here and at peers.
+
+        Of requests at peers only the target of the route is known: those with a
+        longer target count as due after it. When they were counted before it,
+        long prompts retried after an outage caused refusals of short ones that
+        take 4 ms.
+        """
+        newcomer.update_turn(self._selector.slot_s(newcomer.job.route.name))
+        target_s = newcomer.job.route.target_s
+        before_s = _work_s(one for one in queued if not one.late and one.turn.due_s <= newcomer.turn.due_s)
+        at_peers = (work.timely_work_s for work in self._backlog.at_peers(newcomer.queue) if work.target_s <= target_s)
+        before_s += self._peer_share(newcomer.queue) * sum(at_peers)
+        begin_s = _engine_free_s(newcomer.queue) + before_s / self._count_engines(newcomer)
+        newcomer.late = begin_s + newcomer.turn.work_s > newcomer.turn.due_s
+        newcomer.set_expected_wait(self.wait_s([*queued, newcomer]) if newcomer.late else begin_s)
+
+    def wait_s(self, queued: Sequence[Waiter]) -> float:
+        """Return the seconds until all waiters of a queue are done, late ones and those at peers included."""
+        at_peers_s = sum(work.timely_work_s + work.late_work_s for work in self._backlog.at_peers(queued[0].queue))
+        work_s = _work_s(queued) + self._peer_share(queued[0].queue) * at_peers_s
+        return _engine_free_s(queued[0].queue) + work_s / self._count_engines(queued[0])
+
+    def count_timely(self, queue: QueueKey) -> float:
+        """Return how many requests of a queue can be on time, at all instances."""
+        return self._backlog.count_requests(queue)
+
+    def _triage_queue(self, queued: Sequence[Waiter]) -> None:
+        for waiter in queued:
+            waiter.update_turn(self._selector.slot_s(waiter.job.route.name))
+        late = late_requests(
+            [one.turn for one in queued], _engine_free_s(queued[0].queue), self._contention_factor(queued)
+        )
+        for index, waiter in enumerate(queued):
+            waiter.late = index in late
+
+    def _contention_factor(self, queued: Sequence[Waiter]) -> float:
+        """Return the seconds that pass for each engine second of a queue.
+
+        Peers with queued work take turns with this instance, for as long as they
+        have any.
+        """
+        at_peers = self._backlog.at_peers(queued[0].queue)
+        own_s = _work_s(queued)
+        share = self._peer_share(queued[0].queue)
+        competing = min(len(at_peers), sum(one.timely_work_s for one in at_peers) / own_s) if own_s else 0
+        return (1 + share * competing) / self._count_engines(queued[0])
+
+    def _count_engines(self, waiter: Waiter) -> int:
+        return max(self._selector.count_engines(waiter.job, _stage_of(waiter.queue)), 1)
+
+    def _peer_share(self, queue: QueueKey) -> float:
+        return self._selector.share_of(queue.service, _stage_of(queue))
+
+
+def engines_busy(plan: EnginePlan) -> bool:
+    """Tell whether the engines of ``wait_for_plan`` are too busy for it, or have no permit."""
+    return plan.view.wait_s > MAX_ENGINE_BACKLOG_S or plan.decode_full or not plan.admitted
+
+
+def queue_key_of(job: Job, plan: EnginePlan) -> QueueKey:
+    """Return the queue in which ``job`` waits for the engines of ``wait_for_plan``."""
+    if plan.decode_full:
+        return QueueKey(job.service, Need.slot)
+    return QueueKey(job.service, Need.decode if plan.prefill is None else Need.prefill)
+
+
+def _stage_of(queue: QueueKey) -> Stage:
+    return Stage.prefill if queue.need is Need.prefill else Stage.decode
+
+
+def _engine_free_s(queue: QueueKey) -> float:
+    """Return the seconds until an engine takes the next request while requests are queued for it."""
+    return 0 if queue.need is Need.slot else MAX_ENGINE_BACKLOG_S
+
+
+def _work_s(waiters: Iterable[Waiter]) -> float:
+    return sum(waiter.turn.work_s for waiter in waiters)
+
+
+def _queued_work(queued: Sequence[Waiter]) -> QueuedWork:
+    timely = [waiter for waiter in queued if not waiter.late]
+    late_s = _work_s(queued) - _work_s(timely)
+    return QueuedWork(queued[0].queue, queued[0].job.route.target_s, len(timely), _work_s(timely), late_s)
+
+
+__all__ = ('QueueTriage', 'Waiter', 'engines_busy', 'queue_key_of')
--- a/packages/sesamepoint/src/sesamepoint/front/reply.py
+++ b/packages/sesamepoint/src/sesamepoint/front/reply.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from sesamepoint.front.events_split import EventSplitter
-from sesamepoint.platform.names import RETRY_AFTER
+from sesamepoint.front.event_splitter import EventSplitter
+from sesamepoint.platform.wire_names import RETRY_AFTER
 
 if TYPE_CHECKING:
     from sesamepoint.http1.messages import Headers
@@ -29,7 +29,7 @@
         self._streaming = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Return whether a part of an answer was sent."""
         return bool(self.status)
 
@@ -37,21 +37,21 @@
         """Raise a ``CallerGoneError`` if the caller has closed the connection."""
         self._conn.check_caller()
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
         self.status = status
-        await self._conn.whole(status, headers, body)
+        await self._conn.send_whole(status, headers, body)
 
     async def refuse(self, status: int, reason: str, retry_after_s: float | None = None) -> None:
         """Send an error of this instance, with a Retry-After in seconds if given."""
         headers: Headers = (JSON_TYPE,)
         if retry_after_s is not None:
             headers = (*headers, (RETRY_AFTER, f'{retry_after_s:.3f}'.encode()))
-        await self.whole(status, headers, msgspec.json.encode({'error': reason}))
+        await self.send_whole(status, headers, msgspec.json.encode({'error': reason}))
 
     async def deny(self, reason: str) -> None:
         """Send a 401, which asks the caller for another key."""
-        await self.whole(UNAUTHORIZED, (JSON_TYPE, CHALLENGE), msgspec.json.encode({'error': reason}))
+        await self.send_whole(UNAUTHORIZED, (JSON_TYPE, CHALLENGE), msgspec.json.encode({'error': reason}))
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Send the head of a streamed answer."""
@@ -59,9 +59,9 @@
         self._streaming = True
         await self._conn.begin(status, headers)
 
-    async def part(self, body: bytes) -> None:
+    async def send_part(self, body: bytes) -> None:
         """Send a part of the body."""
-        await self._conn.part(body)
+        await self._conn.send_part(body)
 
     async def end(self) -> None:
         """Mark the body as complete."""
--- a/packages/sesamepoint/src/sesamepoint/front/request.py
+++ b/packages/sesamepoint/src/sesamepoint/front/request.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sesamepoint_core.serving.accounts import ShownKey
+from sesamepoint_core.serving.accounts import PresentedKey
 
 if TYPE_CHECKING:
     from sesamepoint_core.serving.prompt import Prompt
@@ -18,7 +18,7 @@
     ----------
     head
         Request head with only the headers to forward.
-    arrived
+    arrived_at
         Time of arrival, on trio's clock.
     caller
         Address of the caller; empty if unknown.
@@ -33,15 +33,15 @@
     path: str
     head: RequestHead
     body: bytes
-    arrived: float
+    arrived_at: float
     deadline_s: float | None
     prompt: Prompt | None
     caller: str = ''
-    key: ShownKey = ShownKey()
+    key: PresentedKey = PresentedKey()
 
     def left_s(self, now: float) -> float | None:
-        """Return the seconds from ``now`` until the deadline of the caller; None if unknown."""
-        return None if self.deadline_s is None else self.arrived + self.deadline_s - now
+        """Return the seconds from ``for_job`` until the deadline of the caller; None if unknown."""
+        return None if self.deadline_s is None else self.arrived_at + self.deadline_s - now
 
 
 __all__ = ('FrontRequest',)
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/request_end.py
@@ -0,0 +1,80 @@
+"""End of a request: the cause of a failure, and the final log line."""
+
+from __future__ import annotations
+
+from types import MappingProxyType
+from typing import TYPE_CHECKING
+
+from sesamepoint_core.units import whole_ms
+from sesamepoint import events
+from sesamepoint.front.attempt_results import Relayed, RunFailed, Silent
+from sesamepoint.front.failure_cause import FailureCause
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from sesamepoint_core.serving.routes import Configuration
+    from sesamepoint.front.attempt_results import AttemptResult
+    from sesamepoint.front.job import Job
+
+_CAUSE_BY_OUTCOME: Mapping[type, FailureCause] = MappingProxyType(
+    {RunFailed: FailureCause.runner_failed, Silent: FailureCause.silent}
+)
+
+
+def failure_cause_of(job: Job, outcome: AttemptResult | None) -> FailureCause:
+    """Return why ``job`` ends without a complete answer; none if it was served."""
+    if isinstance(outcome, Relayed):
+        return FailureCause.none
+    if job.reply.started:
+        return FailureCause.cut_in_answer
+    if job.may_have_run:
+        return _CAUSE_BY_OUTCOME.get(type(outcome), FailureCause.broken)
+    return _cause_of_unsent(job)
+
+
+def log_request_end(job: Job, cfg: Configuration, took_s: float) -> None:
+    """Write the final log line of a request."""
+    trace = job.trace
+    events.log_event(
+        events.ANSWER_ENDED,
+        request=job.req.request_id,
+        caller=job.req.caller,
+        account=job.access.account.name if job.access.account else '',
+        content=job.content_id,
+        route=job.route.name,
+        config_version=cfg.version,
+        status=job.reply.status,
+        unfinished=job.reply.unfinished or not job.reply.started,
+        refused=job.trace.refused,
+        on_time=job.was_on_time(took_s),
+        target_ms=whole_ms(job.route.target_s),
+        deadline_ms=None if job.req.deadline_s is None else whole_ms(job.req.deadline_s),
+        returned=job.caller_retry,
+        sends=job.sends,
+        runners=sorted(job.tried_runners),
+        passed_over=sorted(trace.ineligible_runners),
+        took_ms=whole_ms(took_s),
+        first_total_ms=None if trace.first_output_at is None else whole_ms(trace.first_output_at - job.req.arrived_at),
+        held_ms=whole_ms(trace.queued_s),
+        prefill_ms=None if trace.prefill_s is None else whole_ms(trace.prefill_s),
+        wait_expected_ms=None if trace.wait_expected_s is None else whole_ms(trace.wait_expected_s),
+        need=trace.need,
+        pause_ms=whole_ms(trace.longest_pause_s),
+        pause_limit_ms=whole_ms(job.route.pause_s),
+        cause=trace.cause,
+        tokens=job.req.prompt.tokens if job.req.prompt else 0,
+        answer_tokens=job.req.prompt.max_output if job.req.prompt else 0,
+        **trace.decision,
+    )
+
+
+def _cause_of_unsent(job: Job) -> FailureCause:
+    if job.trace.unsent_cause:
+        return job.trace.unsent_cause
+    if job.trace.refused:
+        return FailureCause.refused
+    return FailureCause.rejected_by_runners if job.sends else FailureCause.no_runner
+
+
+__all__ = ('failure_cause_of', 'log_request_end')
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/retries.py
@@ -0,0 +1,205 @@
+"""Attempts of a request, their effect on the health of runners, and the rules for retries."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+import trio
+
+from sesamepoint_core.serving.routes import RepeatPolicy
+from sesamepoint_core.units import whole_ms
+from sesamepoint import events
+from sesamepoint.front.attempt import Attempt, Target
+from sesamepoint.front.failure_cause import FailureCause
+from sesamepoint.front.send_check import SendKind, SendPurpose
+from sesamepoint.front.runner_status import FROM_ANSWER
+from sesamepoint.front.attempt_results import Broken, Rejected, Relayed, RunFailed, Silent, Unsent, Withheld
+from sesamepoint.platform.headers import AttemptHeaders
+
+if TYPE_CHECKING:
+    from sesamepoint.front.attempt_results import AttemptResult
+    from sesamepoint.front.fleet_member import Member
+    from sesamepoint.front.job import Job
+    from sesamepoint.front.prefill import PrefillFailed
+
+# Silence timeout after which a repeatable request goes to another runner: this
+# many times the expected time, and at least this many seconds. Plain services
+# answer in tens of milliseconds. Engines get more time: under load they are slower
+# than estimated, and a move to another engine repeats the prefill.
+SILENCE_TIMEOUT_FACTOR = 3.0
+MIN_SILENCE_TIMEOUT_S = 0.4
+ENGINE_SILENCE_TIMEOUT_FACTOR = 4.0
+MIN_ENGINE_SILENCE_TIMEOUT_S = 1.2
+# How often the send check of one request may fail after a runner was chosen. Runner
+# status that changes more often than that is too unstable to choose by.
+MAX_WITHHELD_SENDS = 16
+
+
+def silence_timeout_s(expected_s: float, *, engine: bool) -> float:
+    """Return the silence timeout in seconds for a first output that is expected in ``expected_s``."""
+    if engine:
+        return max(MIN_ENGINE_SILENCE_TIMEOUT_S, ENGINE_SILENCE_TIMEOUT_FACTOR * expected_s)
+    return max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * expected_s)
+
+
+def target_for(job: Job, member: Member, expected_s: float) -> Target:
+    """Return ``fleet_member`` as the target of the next attempt.
+
+    There is no silence timeout if no further attempt is allowed, because a
+    silent runner may still be at work.
+    """
+    movable = repeatable(job) and job.sends + 1 < job.route.max_attempts
+    allowed_s = silence_timeout_s(expected_s, engine=job.req.prompt is not None) if movable else math.inf
+    sending = AttemptHeaders(
+        member.runner.key,
+        job.left_s,
+        job.priority,
+        resume_after=job.reply.events.last_event_id if job.reply.started else '',
+    )
+    return Target(member, sending, allowed_s, job.note_first_output, purpose=SendPurpose(SendKind.run, job))
+
+
+async def run_attempt(job: Job, target: Target) -> AttemptResult:
+    """Send ``job`` to ``owner`` and record the outcome."""
+    member = target.member
+    job.tried_runners[member.runner.key] = member.incarnation
+    job.sends += 1
+    # Causes of an earlier wait must not be logged as the cause of a later failure.
+    job.trace.refused = False
+    job.trace.unsent_cause = FailureCause.none
+    ran_before = job.may_have_run
+    job.may_have_run = True
+    exchange = Attempt(job.req, target, job.reply, streamed=job.route.streamed)
+    started = trio.current_time()
+    job.trace.sent_at = started
+    outcome = await exchange.run()
+    if isinstance(outcome, RunFailed):
+        # The runner has run the request, even if its answer is never relayed.
+        job.note_run_started()
+    if isinstance(outcome, Unsent | Rejected | Withheld):
+        # An earlier attempt may have run, so the flag goes back to what it was.
+        job.may_have_run = ran_before
+    if isinstance(outcome, Withheld):
+        job.sends -= 1
+        note_withheld(job, target, outcome, started)
+    else:
+        _note_outcome(job, target, outcome, started)
+    return outcome
+
+
+def note_withheld(job: Job, target: Target, outcome: Withheld, started: float) -> None:
+    """Record that the send check blocked a send; the runner may be chosen again later."""
+    member = target.member
+    job.tried_runners.pop(member.runner.key, None)
+    job.trace.withheld_sends += 1
+    events.log_event(
+        events.SEND_NOT_ADMITTED,
+        condition=outcome.condition,
+        kind=target.purpose.kind.value,
+        **_send_fields(job, member, started),
+    )
+
+
+def note_prefill_failure(job: Job, member: Member, failure: PrefillFailed, started: float) -> None:
+    """Record that a remote prefill at ``fleet_member`` failed."""
+    events.log_event(
+        events.PREFILL_FAILED,
+        cause=failure.cause,
+        **_send_fields(job, member, started),
+    )
+    if failure.ended:
+        job.ended_incarnations.append(member.incarnation)
+    if failure.replaced:
+        member.note_replaced(FROM_ANSWER)
+    elif member.backing_off:
+        return
+    elif not failure.timed_out or not member.health.active_since(started):
+        note_failure(member, failure.cause)
+
+
+def note_failure(member: Member, cause: str, *, answered: bool = False) -> None:
+    """Count a failure of ``fleet_member``, which may eject it for a time."""
+    if member.health.note_failure(trio.current_time(), answered=answered):
+        events.log_event(events.RUNNER_EJECTED, runner=member.runner.key, cause=cause)
+
+
+def may_retry(job: Job, outcome: AttemptResult) -> bool:
+    """Return whether another attempt is allowed after this outcome."""
+    if isinstance(outcome, Relayed) or job.sends >= job.route.max_attempts:
+        return False
+    if isinstance(outcome, Unsent | Rejected):
+        return True
+    if isinstance(outcome, Withheld):
+        return job.trace.withheld_sends < MAX_WITHHELD_SENDS
+    if job.reply.started:
+        return job.route.repeat is RepeatPolicy.resume and isinstance(outcome, Broken | Silent)
+    return repeatable(job)
+
+
+def repeatable(job: Job) -> bool:
+    """Return whether the route allows the request to run more than once."""
+    return job.route.repeat is not RepeatPolicy.never
+
+
+def _send_fields(job: Job, member: Member, started: float) -> dict[str, object]:
+    """Return the log fields that all failed sends share."""
+    return {
+        'request': job.req.request_id,
+        'runner': member.runner.key,
+        'content': job.content_id,
+        'under_way_ms': whole_ms(trio.current_time() - started),
+        'beside': member.in_flight,
+    }
+
+
+def _cause_of(outcome: AttemptResult) -> str:
+    if isinstance(outcome, RunFailed):
+        return f'status {outcome.head.status}'
+    if isinstance(outcome, Rejected):
+        return f'rejected with status {outcome.status}'
+    return getattr(outcome, 'cause', outcome.tag)
+
+
+def _note_outcome(job: Job, target: Target, outcome: AttemptResult, started: float) -> None:
+    member = target.member
+    if isinstance(outcome, Relayed):
+        member.health.note_success()
+        return
+    if isinstance(outcome, Unsent):
+        job.sends -= 1
+        member.health.note_connect_failure()
+    if isinstance(outcome, Broken) and outcome.runner_ended:
+        job.ended_incarnations.append(member.incarnation)
+    events.log_event(
+        events.ATTEMPT_ENDED,
+        outcome=outcome.tag,
+        cause=_cause_of(outcome),
+        **_send_fields(job, member, started),
+        begun=job.reply.started,
+        resume_after=target.sending.resume_after,
+        fetch_from=target.sending.fetch_from,
+        kv_source=target.sending.kv_source,
+    )
+    if isinstance(outcome, Rejected) and outcome.runner_replaced:
+        member.note_replaced(FROM_ANSWER)
+        return
+    if isinstance(outcome, Rejected) and member.backing_off:
+        # The runner asked for back-off and said for how long; that is no failure.
+        return
+    if isinstance(outcome, Silent) and member.health.active_since(started):
+        # The runner is busy, not dead: it has answered other requests since.
+        return
+    note_failure(member, outcome.tag, answered=isinstance(outcome, RunFailed))
+
+
+__all__ = (
+    'may_retry',
+    'note_failure',
+    'note_prefill_failure',
+    'note_withheld',
+    'repeatable',
+    'run_attempt',
+    'silence_timeout_s',
+    'target_for',
+)
--- a/packages/sesamepoint/src/sesamepoint/front/return_time.py
+++ b/packages/sesamepoint/src/sesamepoint/front/retry_after.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 # A retry time longer than this share of their remaining time is not heeded by callers.
-MAX_SHARE = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 # Assumed remaining time of a caller that named no deadline, in seconds.
-UNNAMED_S = 3.0
+DEFAULT_DEADLINE_S = 3.0
 
 
-def when_unknown_s(left_s: float | None) -> float:
+def default_retry_after_s(left_s: float | None) -> float:
     """Return the retry time if it can't be forecast when a runner is available, in seconds.
 
     A caller retries once or a few times, so it should not retry before the cause
@@ -23,11 +23,11 @@
     left_s
         Remaining time of the caller, in seconds; None if it named no deadline.
     """
-    remaining_s = UNNAMED_S if left_s is None else left_s
-    return MAX_SHARE * max(remaining_s, 0)
+    remaining_s = DEFAULT_DEADLINE_S if left_s is None else left_s
+    return MAX_WAIT_SHARE * max(remaining_s, 0)
 
 
-def hold_s(left_s: float | None, first_left_s: float) -> float:
+def max_hold_s(left_s: float | None, first_left_s: float) -> float:
     """Return for how many seconds to keep a request while no runner is known yet.
 
     An instance that has just started mostly knows its runners within 0.1 s, and a
@@ -41,12 +41,12 @@
     first_left_s
         Remaining time for the start of an answer, in seconds.
     """
-    return min(when_unknown_s(left_s), first_left_s / 2)
+    return min(default_retry_after_s(left_s), first_left_s / 2)
 
 
-def heeded_s(wait_s: float, left_s: float) -> float:
+def capped_retry_after_s(wait_s: float, left_s: float) -> float:
     """Return ``wait_s``, capped to the longest retry time that the caller heeds, in seconds."""
-    return min(wait_s, when_unknown_s(left_s))
+    return min(wait_s, default_retry_after_s(left_s))
 
 
-__all__ = ('heeded_s', 'hold_s', 'when_unknown_s')
+__all__ = ('capped_retry_after_s', 'default_retry_after_s', 'max_hold_s')
--- a/packages/sesamepoint/src/sesamepoint/front/usual_deadlines.py
+++ b/packages/sesamepoint/src/sesamepoint/front/retry_detection.py
@@ -11,16 +11,16 @@
 # A request with less than this share of the longest deadline of its route is a retry.
 # Deadlines of first attempts of one route differ by up to 15%; a caller that retries
 # after a third of its time has at most two thirds left.
-RETURNED_SHARE = 0.8
+RETRY_SHARE = 0.8
 
 
-class _Longest(NamedTuple):
-    began: float
-    newest_s: float
-    before_s: float
+class _LongestDeadline(NamedTuple):
+    window_began: float
+    current_s: float
+    previous_s: float
 
 
-class UsualDeadlines:
+class RetryDetector:
     """The longest recent deadline of each route, to recognise retries.
 
     Nothing else marks a retry: its request has a new id.
@@ -28,9 +28,9 @@
 
     def __init__(self) -> None:
         """Start without any route."""
-        self._longest: dict[str, _Longest] = {}
+        self._longest: dict[str, _LongestDeadline] = {}
 
-    def returned(self, route: str, deadline_s: float | None, now: float) -> bool:
+    def is_retry(self, route: str, deadline_s: float | None, now: float) -> bool:
         """Record the deadline of a request of ``route``, and tell whether the request is a retry.
 
         Parameters
@@ -42,16 +42,16 @@
         """
         if deadline_s is None:
             return False
-        longest = self._longest.get(route, _Longest(now, 0, 0))
-        if now - longest.began > WINDOW_S:
-            longest = _Longest(now, 0, longest.newest_s)
-        longest = longest._replace(newest_s=max(longest.newest_s, deadline_s))
+        longest = self._longest.get(route, _LongestDeadline(now, 0, 0))
+        if now - longest.window_began > WINDOW_S:
+            longest = _LongestDeadline(now, 0, longest.current_s)
+        longest = longest._replace(current_s=max(longest.current_s, deadline_s))
         self._longest[route] = longest
-        return deadline_s < RETURNED_SHARE * max(longest.newest_s, longest.before_s)
+        return deadline_s < RETRY_SHARE * max(longest.current_s, longest.previous_s)
 
-    def forget_but(self, routes: frozenset[str]) -> None:
+    def keep_only(self, routes: frozenset[str]) -> None:
         """Forget all routes except ``routes``."""
         self._longest = {name: longest for name, longest in self._longest.items() if name in routes}
 
 
-__all__ = ('UsualDeadlines',)
+__all__ = ('RetryDetector',)
--- a/packages/sesamepoint/src/sesamepoint/front/choice.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_selection.py
@@ -6,53 +6,53 @@
 
 import trio
 
-from sesamepoint_core.serving.paths import OTHERS_WEIGHT, Speeds, best_second_step
-from sesamepoint_core.serving.rate import PauseMeter, SpeedMeter
-from sesamepoint_core.serving.routes import Repeat
+from sesamepoint_core.serving.placement import QUEUED_WEIGHT, Speeds, best_decode_step
+from sesamepoint_core.serving.routes import RepeatPolicy
 from sesamepoint_core.serving.runner import Stage
-from sesamepoint.front.backlog import Line, Need
-from sesamepoint.front.engine_plan import EnginePlan, Seen, Views, plan_for
-from sesamepoint.front.usable import Usable, note_passed_over
+from sesamepoint_core.serving.speed_meters import PauseMeter, PrefillSpeedMeter
+from sesamepoint.front.backlog import Need, QueueKey
+from sesamepoint.front.eligibility import EligibleRunners, note_passed_over
+from sesamepoint.front.engine_plan import Candidate, EnginePlan, EngineViews, plan_for
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
+    from sesamepoint_core.serving.poison_requests import Incarnation
     from sesamepoint_core.serving.prompt import Prompt
     from sesamepoint_core.serving.routes import Configuration
-    from sesamepoint_core.serving.suspects import Start
     from sesamepoint.front.backlog import Backlog
+    from sesamepoint.front.engine_subset import EngineSubset
+    from sesamepoint.front.fleet_member import Member
     from sesamepoint.front.job import Job
-    from sesamepoint.front.known_engines import KnownEngines
-    from sesamepoint.front.member import Member
     from sesamepoint.front.runner_limits import RunnerLimits
 
 # Used for a service whose link and cache sizes are not published: a transfer costs nothing.
-UNKNOWN_TRANSFER = 1e9
+DEFAULT_TRANSFER_TOKENS_S = 1e9
 # A runner in another zone counts as if it had this many more requests in flight.
 # Crossing zones costs 1.5 ms each way; a request takes tens of milliseconds.
-ZONE_PENALTY = 0.5
+ZONE_PENALTY_REQUESTS = 0.5
 # Highest rank of a request that can be on time, and the rank of one that can't.
 # Late requests wait behind all others, so that they make no others late.
 MAX_RANK = 4
 LATE_RANK = 8
 # Cost of a lost answer, as a multiple of the route's target. A late answer costs
 # twice the target and keeps a third of its worth.
-LOST_WEIGHT = 4.0
+LOST_COST_FACTOR = 4.0
 # Factor on that cost for a request that can be retried at another runner.
-REPEATED_SHARE = 0.3
+RETRYABLE_COST_FACTOR = 0.3
 # Time for which an answer occupies an engine slot, in seconds, before any was
 # measured, and the weight of each measurement. Current answers take 0.2 to 0.5 s.
-FIRST_SLOT_S = 0.3
-SLOT_LEARNING = 0.05
+DEFAULT_SLOT_S = 0.3
+SLOT_SMOOTHING = 0.05
 # A prompt waits for a permit of a prefill engine if its prefill takes more than this
 # share of the interval between two permits.
-WORTH_WAITING = 0.25
+MIN_WORK_SHARE = 0.25
 
 
-class Chooser:
+class RunnerSelector:
     """Selects runners by estimates that include the sends of all instances."""
 
-    def __init__(self, known: KnownEngines, availability_zone: str, backlog: Backlog, limits: RunnerLimits) -> None:
+    def __init__(self, subset: EngineSubset, availability_zone: str, backlog: Backlog, limits: RunnerLimits) -> None:
         """Select from the instance's subset of engines.
 
         Parameters
@@ -64,50 +64,50 @@
         limits
             Rate limits of the runners.
         """
-        self._known = known
+        self._subset = subset
         self._limits = limits
-        self.usable = Usable(known, limits)
+        self.eligible = EligibleRunners(subset, limits)
         self._backlog = backlog
-        self._zone = availability_zone
-        self._speeds: dict[str, SpeedMeter] = {}
-        self._pauses: dict[str, PauseMeter] = {}
-        self._slots: dict[str, float] = {}
+        self._availability_zone = availability_zone
+        self._speed_meters: dict[str, PrefillSpeedMeter] = {}
+        self._pause_meters: dict[str, PauseMeter] = {}
+        self._slot_s: dict[str, float] = {}
 
-    def speed(self, service: str) -> SpeedMeter:
+    def speed_meter(self, service: str) -> PrefillSpeedMeter:
         """Return the meter of the prefill speed of a service's engines."""
-        return self._speeds.setdefault(service, SpeedMeter())
+        return self._speed_meters.setdefault(service, PrefillSpeedMeter())
 
-    def pauses(self, service: str) -> PauseMeter:
+    def pause_meter(self, service: str) -> PauseMeter:
         """Return the meter of pauses between two stream events at a service's engines."""
-        return self._pauses.setdefault(service, PauseMeter())
+        return self._pause_meters.setdefault(service, PauseMeter())
 
-    def engines(self, job: Job, stage: Stage | None = None) -> int:
+    def count_engines(self, job: Job, stage: Stage | None = None) -> int:
         """Return how many eligible engines, of ``stage`` if one is given, could serve ``job``."""
-        return sum(stage is None or member.runner.stage is stage for member in self.usable.now(job))
+        return sum(stage is None or member.runner.stage is stage for member in self.eligible.for_job(job))
 
     def share_of(self, service: str, stage: Stage) -> float:
         """Return the share of the peers' work that goes to engines in this instance's subset."""
-        return self._known.share_of(service, stage)
+        return self._subset.subset_share(service, stage)
 
-    async def until_any(self, service: str) -> bool:
+    async def wait_for_any(self, service: str) -> bool:
         """Wait until a runner of ``service`` is known; return False if all of its runners are draining."""
-        return await self._known.until_any(service)
+        return await self._subset.wait_for_any(service)
 
     def slot_s(self, route: str) -> float:
         """Return for how many seconds an answer of ``route`` occupies an engine slot."""
-        return self._slots.get(route, FIRST_SLOT_S)
+        return self._slot_s.get(route, DEFAULT_SLOT_S)
 
-    def note_slot(self, route: str, took_s: float) -> None:
+    def observe_slot(self, route: str, took_s: float) -> None:
         """Update the moving average of the time for which an answer of ``route`` occupies a slot."""
         average_s = self.slot_s(route)
-        self._slots[route] = average_s + SLOT_LEARNING * (took_s - average_s)
+        self._slot_s[route] = average_s + SLOT_SMOOTHING * (took_s - average_s)
 
-    def plain(self, job: Job) -> Member | None:
+    def plain_runner(self, job: Job) -> Member | None:
         """Return the eligible runner with the fewest requests in flight, preferring this instance's zone."""
-        eligible = self.usable.now(job)
-        return min(eligible, key=self._crowding, default=None)
+        eligible = self.eligible.for_job(job)
+        return min(eligible, key=self._load_score, default=None)
 
-    def engine(self, job: Job, prompt: Prompt, cfg: Configuration) -> EnginePlan | None:
+    def plan(self, job: Job, prompt: Prompt, cfg: Configuration) -> EnginePlan | None:
         """Return the placement of least cost; None if no engine can run ``job``.
 
         A request that would be late on it gets the last rank. A prompt that was
@@ -115,58 +115,58 @@
         another remote prefill: only the first remote prefill is free.
         """
         candidates = self._candidates(job, prompt)
-        if not job.may_read_apart:
+        if not job.allow_remote_prefill:
             candidates = [one for one in candidates if one.member.runner.stage is Stage.decode]
         members = [one.member for one in candidates]
-        speeds = self._speeds_of(job, cfg)._replace(
-            prefill_price=self._price(job, members, Stage.prefill),
-            decode_price=self._price(job, members, Stage.decode),
+        speeds = self._cost_inputs(job, cfg)._replace(
+            prefill_price=self._queue_price(job, members, Stage.prefill),
+            decode_price=self._queue_price(job, members, Stage.decode),
         )
-        plan = plan_for(prompt, candidates, speeds, urgency(job))
-        if plan is None or plan.path.first_s <= job.on_time_s:
+        plan = plan_for(prompt, candidates, speeds, queue_rank(job))
+        if plan is None or plan.placement.first_s <= job.target_left_s:
             return plan
         return plan._replace(rank=LATE_RANK)
 
-    def second_step(self, job: Job, prompt: Prompt, cfg: Configuration, zone: str) -> Member | None:
+    def decode_engine(self, job: Job, prompt: Prompt, cfg: Configuration, zone: str) -> Member | None:
         """Return the engine of least cost to decode at after a prefill in ``zone``; None if none is eligible."""
-        members = [member for member in self.usable.now(job) if member.runner.stage is Stage.decode]
+        members = [member for member in self.eligible.for_job(job) if member.runner.stage is Stage.decode]
         if not members:
             return None
-        speeds = self._speeds_of(job, cfg)
-        views = Views(prompt, self._seen(members, job), None, speeds.pause_s).all()
-        runner = best_second_step(tuple(views.values()), speeds, zone, prompt.tokens).runner
+        speeds = self._cost_inputs(job, cfg)
+        views = EngineViews(prompt, self._with_limits(members, job), None, speeds.pause_s).all()
+        runner = best_decode_step(tuple(views.values()), speeds, zone, prompt.tokens).runner
         return next(member for member in members if member.runner.key == runner)
 
-    def for_trial(self, job: Job, allows: Callable[[Start], bool]) -> str | None:
+    def probe_runner(self, job: Job, allows: Callable[[Incarnation], bool]) -> str | None:
         """Return the key of the runner to probe with ``job``: of those allowed, the one with the fewest requests."""
-        eligible = (member for member in self.usable.now(job) if member.runner.stage is not Stage.prefill)
-        allowed = (member for member in eligible if allows(member.start))
-        best = min(allowed, key=_beside, default=None)
+        eligible = (member for member in self.eligible.for_job(job) if member.runner.stage is not Stage.prefill)
+        allowed = (member for member in eligible if allows(member.incarnation))
+        best = min(allowed, key=_active_requests, default=None)
         return best.runner.key if best else None
 
-    def _candidates(self, job: Job, prompt: Prompt) -> list[Seen]:
+    def _candidates(self, job: Job, prompt: Prompt) -> list[Candidate]:
         """Return the engines that admit ``job`` now, and the rate-limited prefill engines worth waiting for.
 
         If prefill engines were excluded until they have a permit, decode engines would
         prefill the long prompts in the meantime, at half the speed. Short prompts do
         little harm there and leave the permits of prefill engines to long ones.
         """
-        healthy = self.usable.sound(job)
-        candidates = self._seen(healthy, job)
+        healthy = self.eligible.healthy(job)
+        candidates = self._with_limits(healthy, job)
         admitted = [one for one in candidates if not one.permit_wait_s]
         note_passed_over(job, healthy, [one.member for one in admitted])
-        speed = self.speed(job.service).speed
-        work_s = speed.read_s(prompt.tokens, prompt.tokens)
+        speed = self.speed_meter(job.service).speed
+        work_s = speed.prefill_s(prompt.tokens, prompt.tokens)
         limited = (one for one in candidates if one.permit_wait_s and one.member.runner.stage is Stage.prefill)
-        in_time = (one for one in limited if one.permit_wait_s < job.first_left_s)
-        return [*admitted, *(one for one in in_time if work_s > WORTH_WAITING * one.place_s)]
+        in_time = (one for one in limited if one.permit_wait_s < job.first_output_left_s)
+        return [*admitted, *(one for one in in_time if work_s > MIN_WORK_SHARE * one.permit_interval_s)]
 
-    def _seen(self, members: Sequence[Member], job: Job) -> list[Seen]:
+    def _with_limits(self, members: Sequence[Member], job: Job) -> list[Candidate]:
         """Return ``members`` with the waits that their rate limits impose on ``job``."""
-        place_s = self._limits.place_s
-        return [Seen(one, self.usable.wait_s(one, job), place_s(one.start)) for one in members]
+        place_s = self._limits.permit_interval_s
+        return [Candidate(one, self.eligible.permit_wait_s(one, job), place_s(one.incarnation)) for one in members]
 
-    def _price(self, job: Job, members: Sequence[Member], stage: Stage) -> float:
+    def _queue_price(self, job: Job, members: Sequence[Member], stage: Stage) -> float:
         """Return what one second of an engine costs the requests queued for it.
 
         Each of them waits a second longer. With a fixed price, decode engines
@@ -176,41 +176,41 @@
         engines = sum(member.runner.stage is stage for member in members)
         needs = (Need.prefill,) if stage is Stage.prefill else (Need.decode, Need.slot)
         share = self.share_of(job.service, stage)
-        waiting = sum(self._backlog.requests(Line(job.service, need), share) for need in needs)
-        return OTHERS_WEIGHT + waiting / max(engines, 1)
+        waiting = sum(self._backlog.count_requests(QueueKey(job.service, need), share) for need in needs)
+        return QUEUED_WEIGHT + waiting / max(engines, 1)
 
-    def _crowding(self, member: Member) -> float:
-        penalty = 0 if member.runner.zone == self._zone else ZONE_PENALTY
+    def _load_score(self, member: Member) -> float:
+        penalty = 0 if member.runner.zone == self._availability_zone else ZONE_PENALTY_REQUESTS
         return member.in_flight + penalty
 
-    def _speeds_of(self, job: Job, cfg: Configuration) -> Speeds:
+    def _cost_inputs(self, job: Job, cfg: Configuration) -> Speeds:
         service = cfg.services.get(job.service)
         engine = service.engine if service else None
         return Speeds(
-            reading=self.speed(job.service).speed,
-            transfer_tokens_s=engine.link_bytes_s / engine.kv_token_bytes if engine else UNKNOWN_TRANSFER,
+            reading=self.speed_meter(job.service).speed,
+            transfer_tokens_s=engine.link_bytes_s / engine.kv_token_bytes if engine else DEFAULT_TRANSFER_TOKENS_S,
             pause_s=job.route.pause_s,
-            plain_pause_s=self.pauses(job.service).plain_s,
+            plain_pause_s=self.pause_meter(job.service).plain_s,
             late_cost_s=job.route.target_s,
             lost_cost_s=_lost_cost_s(job),
-            on_time_s=job.on_time_s,
+            on_time_s=job.target_left_s,
         )
 
 
 def _lost_cost_s(job: Job) -> float:
-    cost_s = LOST_WEIGHT * job.route.target_s
-    if job.route.repeat is not Repeat.never and job.sends + 1 < job.route.max_attempts:
-        cost_s *= REPEATED_SHARE
+    cost_s = LOST_COST_FACTOR * job.route.target_s
+    if job.route.repeat is not RepeatPolicy.never and job.sends + 1 < job.route.max_attempts:
+        cost_s *= RETRYABLE_COST_FACTOR
     return cost_s
 
 
-def urgency(job: Job) -> int:
+def queue_rank(job: Job) -> int:
     """Return the rank of a request at an engine, by the priority of its account or route."""
     return min(job.priority, MAX_RANK)
 
 
-def _beside(member: Member) -> float:
+def _active_requests(member: Member) -> float:
     return max(member.in_flight, member.load.streams(trio.current_time()))
 
 
-__all__ = ('Chooser', 'urgency')
+__all__ = ('RunnerSelector', 'queue_rank')
--- a/packages/sesamepoint/src/sesamepoint/front/gate.py
+++ b/packages/sesamepoint/src/sesamepoint/front/send_check.py
@@ -10,12 +10,12 @@
 
 from sesamepoint_core.errors import SesamepointError
 from sesamepoint_core.registry import Registry
-from sesamepoint.front.runner_words import RunnerWords
+from sesamepoint.front.runner_status import RunnerStatuses
 
 if TYPE_CHECKING:
-    from sesamepoint_core.serving.suspects import Suspects
+    from sesamepoint_core.serving.poison_requests import SuspectRequests
+    from sesamepoint.front.fleet_member import Member
     from sesamepoint.front.job import Job
-    from sesamepoint.front.member import Member
     from sesamepoint.front.runner_limits import RunnerLimits
 
 
@@ -24,34 +24,34 @@
 
     # First attempts, retries, resumed runs and probes.
     run = 'run'
-    read_apart = 'read_apart'
-    second_step = 'second_step'
+    remote_prefill = 'read_apart'
+    remote_decode = 'second_step'
     inventory = 'inventory'
     free_memory = 'free_memory'
 
 
-class Purpose(NamedTuple):
+class SendPurpose(NamedTuple):
     """Kind of a message, and the request of a caller that it serves, if any."""
 
     kind: SendKind
     job: Job | None = None
 
 
-class Passage(NamedTuple):
+class PendingSend(NamedTuple):
     """A message that is about to be sent to a runner.
 
     Parameters
     ----------
-    beside
+    other_requests
         Other requests of this instance in progress at the runner.
     """
 
     member: Member
-    purpose: Purpose
-    beside: int
+    purpose: SendPurpose
+    other_requests: int
 
 
-class GateClosedError(SesamepointError):
+class SendBlockedError(SesamepointError):
     """Nothing was sent, because the send check failed."""
 
     def __init__(self, runner: str, condition: str) -> None:
@@ -60,75 +60,77 @@
         super().__init__(f'send to {runner} blocked ({condition})', 'choose another runner')
 
 
-Condition = Callable[['Gate', Passage], bool]
+BlockCondition = Callable[['SendCheck', PendingSend], bool]
 
-CONDITIONS: Registry[Condition] = Registry('condition that blocks sends')
+BLOCK_CONDITIONS: Registry[BlockCondition] = Registry('condition that blocks sends')
 
 
-class Gate:
+class SendCheck:
     """Checks each message to a runner once its connection is open, before the first byte is sent.
 
     Runner status changes while a request waits in a queue, for its prefill or for
     a connection, so a runner that was chosen earlier may no longer be eligible.
     """
 
-    def __init__(self, words: RunnerWords, suspects: Suspects) -> None:
-        """Check against the given runner status, and against the suspected poison requests in ``suspects``."""
-        self.words = words
+    def __init__(self, runner_statuses: RunnerStatuses, suspects: SuspectRequests) -> None:
+        """Check against the given runner status, and against the suspected poison requests in ``poison_requests``."""
+        self.runner_statuses = runner_statuses
         self.suspects = suspects
-        self._conditions = tuple((name, CONDITIONS.get(name)) for name in CONDITIONS)
+        self._conditions = tuple((name, BLOCK_CONDITIONS.get(name)) for name in BLOCK_CONDITIONS)
 
     @classmethod
-    def from_limits(cls, limits: RunnerLimits, suspects: Suspects) -> Gate:
-        """Build the check of an instance without runner status so far, which keeps rate limits by ``limits``."""
-        return cls(RunnerWords(limits), suspects)
+    def from_limits(cls, limits: RunnerLimits, suspects: SuspectRequests) -> SendCheck:
+        """Build the check of an instance without runner status so far, which keeps rate limits by ``input_limits``."""
+        return cls(RunnerStatuses(limits), suspects)
 
-    def closed_by(self, passage: Passage) -> str:
+    def blocked_by(self, pending_send: PendingSend) -> str:
         """Return the name of a condition that blocks the message; empty if there is none."""
-        return next((name for name, blocks in self._conditions if blocks(self, passage)), '')
+        return next((name for name, blocks in self._conditions if blocks(self, pending_send)), '')
 
 
-@CONDITIONS.register('gone')
-def _gone(gate: Gate, passage: Passage) -> bool:
+@BLOCK_CONDITIONS.register('gone')
+def _is_gone(check: SendCheck, pending_send: PendingSend) -> bool:
     """Return whether the registration has been gone for too long, or the runner has restarted."""
-    return passage.member.closed
+    return pending_send.member.closed
 
 
-@CONDITIONS.register('replaced')
-def _replaced(gate: Gate, passage: Passage) -> bool:
-    return passage.member.replaced
+@BLOCK_CONDITIONS.register('replaced')
+def _is_replaced(check: SendCheck, pending_send: PendingSend) -> bool:
+    return pending_send.member.replaced
 
 
-@CONDITIONS.register('resting')
-def _resting(gate: Gate, passage: Passage) -> bool:
+@BLOCK_CONDITIONS.register('resting')
+def _backs_off(check: SendCheck, pending_send: PendingSend) -> bool:
     """Return whether the runner asked for back-off, or has as many requests as it may right after one."""
-    return passage.beside >= gate.words.belief_of(passage.member.start).room(trio.current_time())
+    return pending_send.other_requests >= check.runner_statuses.status_of(
+        pending_send.member.incarnation
+    ).max_in_flight(trio.current_time())
 
 
-@CONDITIONS.register('leaving')
-def _leaving(gate: Gate, passage: Passage) -> bool:
-    return passage.member.leaving
+@BLOCK_CONDITIONS.register('leaving')
+def _is_draining(check: SendCheck, pending_send: PendingSend) -> bool:
+    return pending_send.member.draining
 
 
-@CONDITIONS.register('limit')
-def _limit(gate: Gate, passage: Passage) -> bool:
+@BLOCK_CONDITIONS.register('limit')
+def _lacks_permit(check: SendCheck, pending_send: PendingSend) -> bool:
     """Return whether a rate limit leaves no token, or the runner never answered and so may yet report a limit."""
-    limits, job = gate.words.limits, passage.purpose.job
-    start = passage.member.start
+    limits, job = check.runner_statuses.limits, pending_send.purpose.job
+    start = pending_send.member.incarnation
     if job is None:
         # All tokens of a rate-limited runner go to requests of callers.
         return limits.limited(start)
-    return passage.beside >= limits.room(passage.member) or not limits.has_permit(start, job)
+    return pending_send.other_requests >= limits.max_in_flight(pending_send.member) or not limits.has_permit(start, job)
 
 
-@CONDITIONS.register('suspect')
-def _suspect(gate: Gate, passage: Passage) -> bool:
+@BLOCK_CONDITIONS.register('suspect')
+def _is_suspect(check: SendCheck, pending_send: PendingSend) -> bool:
     """Return whether the request has become suspect since the choice, and is not sent as a probe."""
-    job = passage.purpose.job
+    job = pending_send.purpose.job
     if job is None:
         return False
-    suspects = gate.suspects
-    return suspects.quarantined(job.content_id) or (suspects.needs_trial(job.content_id) and job.trial is None)
+    suspects = check.suspects
+    return suspects.quarantined(job.content_id) or (suspects.needs_probe(job.content_id) and job.probe is None)
 
 
-__all__ = ('CONDITIONS', 'Gate', 'GateClosedError', 'Passage', 'Purpose', 'SendKind')
+__all__ = ('BLOCK_CONDITIONS', 'PendingSend', 'SendBlockedError', 'SendCheck', 'SendKind', 'SendPurpose')
--- a/packages/sesamepoint/src/sesamepoint/front/settings.py
+++ b/packages/sesamepoint/src/sesamepoint/front/settings.py
@@ -22,16 +22,16 @@
         Where the reports are sent.
     window_s
         Length of the window that a report covers, in seconds.
-    late_s
+    report_delay_s
         Seconds after the end of its window by which a report is due.
-    turns_s
+    lease_s
         Lease time: seconds within which the duty must not pass from one holder to another.
     """
 
     address: Address
     window_s: float
-    late_s: float
-    turns_s: float
+    report_delay_s: float
+    lease_s: float
 
 
 class FrontSettings(NamedTuple):
--- /dev/null
+++ b/packages/sesamepoint/src/sesamepoint/front/store_sync.py
@@ -0,0 +1,94 @@
+"""Tasks of an instance that synchronize it with the store and its peers."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+import trio
+
+from sesamepoint.front.clocks import SystemClock
+from sesamepoint.front.topic_sync import SyncTargets, TopicSync
+from sesamepoint.front.topic_updates import TopicUpdate
+from sesamepoint.front.peer_messages import VersionMessage
+from sesamepoint.front.instance_registration import InstanceRegistration
+from sesamepoint.front.pages import Page, Pages
+from sesamepoint.front.peer_configuration import CONFIGURATION_PATH, PeerConfiguration
+from sesamepoint.front.quarantine_records import QuarantineRecords
+from sesamepoint.front.runner_updates import RunnerUpdates
+from sesamepoint.front.usage_reporting import UsageReporting
+from sesamepoint.platform.store import StoreClient
+from sesamepoint.platform.store_epoch import StoreEpoch
+from sesamepoint.supervisor import Child
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from sesamepoint.front.clocks import Clock
+    from sesamepoint.front.settings import FrontSettings
+    from sesamepoint.http1.transport import Network
+
+# A stop waits no longer than this, in seconds, for the last usage counts to be
+# sent and the duty to be released.
+FINAL_REPORT_TIMEOUT_S = 0.2
+
+
+class StoreSync:
+    """Reads and writes the store; all its clients share the known epoch of the store."""
+
+    def __init__(
+        self, cfg: FrontSettings, beliefs: SyncTargets, network: Network, rng: Random, clock: Clock | None
+    ) -> None:
+        """Create the parts without starting them; ``clock`` defaults to the system clock."""
+        peers = beliefs.peers
+        new_client = partial(StoreClient, cfg.store.address, network, StoreEpoch())
+        self._registration = InstanceRegistration(cfg.name, peers, new_client)
+        self._intake = TopicSync(cfg, beliefs, self._registration, new_client)
+        self._quarantine_records = QuarantineRecords(beliefs.quarantine, new_client(), rng)
+        self._peer_configuration = PeerConfiguration(self._intake, peers, network, rng)
+        self._intake.request_configuration = self._peer_configuration.request_from
+        peers.handlers[VersionMessage] = self._peer_configuration.on_version
+        peers.handlers[TopicUpdate] = self._intake.on_topic_update
+        peers.on_reconnect = self._intake.refresh_quarantine
+        self._runner_status = RunnerUpdates(beliefs.fleet, beliefs.runner_statuses, peers)
+        self._reporting: UsageReporting | None = None
+        if cfg.duty is not None:
+            self._reporting = UsageReporting(cfg.duty, peers, new_client(), network, clock or SystemClock(), rng)
+            beliefs.dispatcher.on_run_started = self._reporting.note_run
+        # Pages that peers may request from this instance.
+        self.pages = Pages(
+            {CONFIGURATION_PATH: Page(self._peer_configuration.encode_page, self._peer_configuration.available)}
+        )
+
+    def children(self) -> list[Child]:
+        """Return the tasks to run."""
+        intake = self._intake
+        return [
+            Child('configuration', intake.follow_configuration),
+            Child('runners', intake.follow_runners),
+            Child('entries', intake.follow_entries),
+            Child('quarantine', intake.follow_quarantine),
+            Child('quarantine-write', self._quarantine_records.write),
+            Child('quarantine-restore', self._quarantine_records.restore),
+            Child('quarantine-end', self._quarantine_records.end_expired),
+            Child('registration', self._registration.stay_registered),
+            Child('lost-entries', partial(self._registration.drop_failed, intake.polls_entries)),
+            Child('peer-configuration', self._peer_configuration.fetch_queued),
+            Child('runner-news', self._runner_status.run),
+            Child('peer-compare', self._peer_configuration.compare_versions),
+            *(self._reporting.children() if self._reporting else ()),
+        ]
+
+    def reconfigure(self, cfg: FrontSettings) -> None:
+        """Apply changed settings."""
+        self._intake.reconfigure(cfg)
+
+    async def withdraw(self) -> None:
+        """Hand over the duty and remove the record of this instance, which is about to stop."""
+        if self._reporting:
+            with trio.move_on_after(FINAL_REPORT_TIMEOUT_S):
+                await self._reporting.wind_down()
+        await self._registration.withdraw()
+
+
+__all__ = ('StoreSync', 'SyncTargets')
--- a/packages/sesamepoint/src/sesamepoint/front/intake.py
+++ b/packages/sesamepoint/src/sesamepoint/front/topic_sync.py
@@ -6,26 +6,26 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sesamepoint import events
-from sesamepoint.front.reading_turns import Pacing
-from sesamepoint.front.watch import Others, Taker, Watch
+from sesamepoint.front.polling_turns import Pacing
+from sesamepoint.front.topic_watch import PeerGroup, RecordHandlers, TopicWatch
 from sesamepoint.platform.configuration import decode_configuration
-from sesamepoint.platform.names import ENTRY_TOPIC, OPERATOR_KEY, OPERATOR_TOPIC, QUARANTINE_TOPIC, RUNNER_TOPIC
-from sesamepoint.platform.registration import decode_runner
-from sesamepoint.platform.unreadable import UnreadableRecordError
+from sesamepoint.platform.runner_registration import decode_runner
+from sesamepoint.platform.unreadable_record import UnreadableRecordError
+from sesamepoint.platform.wire_names import INSTANCE_TOPIC, OPERATOR_KEY, OPERATOR_TOPIC, QUARANTINE_TOPIC, RUNNER_TOPIC
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from sesamepoint_core.serving.routes import Configuration
     from sesamepoint_core.serving.runner import Runner
-    from sesamepoint.front.dispatch import Budgets, Dispatcher
+    from sesamepoint.front.dispatch import Dispatcher, RetryBudgets
     from sesamepoint.front.fleet import Fleet
-    from sesamepoint.front.news import News
-    from sesamepoint.front.own_record import OwnRecord
+    from sesamepoint.front.instance_registration import InstanceRegistration
     from sesamepoint.front.peers import Peers
     from sesamepoint.front.quarantine import Quarantine
-    from sesamepoint.front.runner_words import RunnerWords
+    from sesamepoint.front.runner_status import RunnerStatuses
     from sesamepoint.front.settings import FrontSettings
+    from sesamepoint.front.topic_updates import TopicUpdate
     from sesamepoint.platform.store import KeyedRecord, StoreClient
 
 # Shares of the time within which a new configuration must be in force. One
@@ -33,77 +33,81 @@
 # they receive no update, the others wait as long and up to the spread share
 # more. Half of the time is left for a call to a slow store or a lost answer.
 CONFIGURATION_WAIT_SHARE = 0.25
-CONFIGURATION_REST_S = 0.02
+CONFIGURATION_PAUSE_S = 0.02
 CONFIGURATION_SPREAD_SHARE = 0.15
 # Shares of the time within which a draining runner must be noticed. All runners
 # together renew their records many times a second, so one call after each pause
 # fetches all renewals. An instance that receives no updates polls the store
 # itself after half of that time at the latest.
 RUNNER_WAIT_SHARE = 0.1
-RUNNER_REST_SHARE = 0.2
+RUNNER_PAUSE_SHARE = 0.2
 RUNNER_SPREAD_SHARE = 0.15
 # Instances rarely join or leave. When they start together, each underestimates
 # their number at first and uses more than its share of the retry budget.
 ENTRY_WAIT_S = 1.0
-ENTRY_REST_S = 0.2
+ENTRY_PAUSE_S = 0.2
 ENTRY_SPREAD_S = 0.5
 # Instances announce a quarantine to each other at once. The store keeps it for
 # those that start later or missed the announcement, so calls may be held long.
 QUARANTINE_WAIT_S = 10.0
-QUARANTINE_REST_S = 1.0
+QUARANTINE_PAUSE_S = 1.0
 QUARANTINE_SPREAD_S = 5.0
 
 
-class Beliefs(NamedTuple):
+class SyncTargets(NamedTuple):
     """The parts of the instance that the records update."""
 
     dispatcher: Dispatcher
     fleet: Fleet
-    words: RunnerWords
+    runner_statuses: RunnerStatuses
     peers: Peers
-    budgets: Budgets
+    budgets: RetryBudgets
     quarantine: Quarantine
 
 
-class Intake:
+class TopicSync:
     """Follows the records of the operator, the runners, the instances and the quarantine."""
 
     def __init__(
-        self, cfg: FrontSettings, beliefs: Beliefs, own: OwnRecord, new_client: Callable[[], StoreClient]
+        self,
+        cfg: FrontSettings,
+        targets: SyncTargets,
+        own_record: InstanceRegistration,
+        new_client: Callable[[], StoreClient],
     ) -> None:
         """Keep the given parts in step with the store that ``new_client`` calls."""
         # Called with the name of a peer that has read a configuration which this instance could not read.
-        self.ask_configuration: Callable[[str], None] = _pass_over
+        self.request_configuration: Callable[[str], None] = _ignore_request
         self._cfg = cfg
-        self._beliefs = beliefs
-        self._own = own
+        self._targets = targets
+        self._own_record = own_record
         self._new_client = new_client
-        self._watches: dict[str, Watch] = {}
+        self._watches: dict[str, TopicWatch] = {}
         self._registered: dict[str, Runner] = {}
 
     @property
     def in_force(self) -> Configuration | None:
         """Return the configuration in force."""
-        return self._beliefs.dispatcher.configuration
+        return self._targets.dispatcher.configuration
 
-    def hear(self, news: News) -> None:
+    def on_topic_update(self, update: TopicUpdate) -> None:
         """Apply an update that a peer has read; updates of topics not followed yet are ignored."""
-        watch = self._watches.get(news.topic)
+        watch = self._watches.get(update.topic)
         if watch is not None:
-            watch.hear(news)
-        if news.topic == ENTRY_TOPIC:
-            self._beliefs.peers.members.read_by(news.entry)
+            watch.on_update(update)
+        if update.topic == INSTANCE_TOPIC:
+            self._targets.peers.members.note_poller(update.entry)
 
-    def look_again(self) -> None:
+    def refresh_quarantine(self) -> None:
         """Read the quarantine again soon, since announcements of peers may have been missed."""
         watch = self._watches.get(QUARANTINE_TOPIC)
         if watch is not None:
-            watch.look_soon()
+            watch.poll_soon()
 
-    def reads_entries(self) -> bool:
+    def polls_entries(self) -> bool:
         """Return whether this instance polls the list of instances for all."""
-        watch = self._watches.get(ENTRY_TOPIC)
-        return watch is not None and watch.turns.reads_for_all
+        watch = self._watches.get(INSTANCE_TOPIC)
+        return watch is not None and watch.turns.polls_for_all
 
     def reconfigure(self, cfg: FrontSettings) -> None:
         """Apply changed settings, such as the reserve of the retry budget."""
@@ -116,54 +120,56 @@
         # A slow or repeated read may return an older version than the one in force.
         if before is not None and cfg.version <= before.version:
             return False
-        self._beliefs.fleet.configure(cfg)
-        self._beliefs.dispatcher.configure(cfg)
-        events.log_event(events.VERSION_IN_FORCE, version=cfg.version, routes=sum(map(len, cfg.routes.values())))
+        self._targets.fleet.configure(cfg)
+        self._targets.dispatcher.configure(cfg)
+        events.log_event(events.CONFIGURATION_APPLIED, version=cfg.version, routes=sum(map(len, cfg.routes.values())))
         return True
 
     async def follow_configuration(self) -> None:
         """Apply each newer configuration, until cancelled."""
         span_s = self._cfg.config_s
-        pacing = Pacing(CONFIGURATION_WAIT_SHARE * span_s, CONFIGURATION_REST_S, CONFIGURATION_SPREAD_SHARE * span_s)
-        taker = Taker(
-            self._take_operator_records,
-            self._take_operator_record,
-            restore=self._take_operator_records,
-            ask=self.ask_configuration,
+        pacing = Pacing(CONFIGURATION_WAIT_SHARE * span_s, CONFIGURATION_PAUSE_S, CONFIGURATION_SPREAD_SHARE * span_s)
+        taker = RecordHandlers(
+            self._apply_operator_records,
+            self._apply_operator_record,
+            restore=self._apply_operator_records,
+            request_from=self.request_configuration,
         )
-        await self._follow(OPERATOR_TOPIC, pacing, taker)
+        await self._follow_topic(OPERATOR_TOPIC, pacing, taker)
 
     async def follow_runners(self) -> None:
         """Keep the fleet in step with the registered runners, until cancelled."""
         span_s = self._cfg.drain_s
-        pacing = Pacing(RUNNER_WAIT_SHARE * span_s, RUNNER_REST_SHARE * span_s, RUNNER_SPREAD_SHARE * span_s)
-        await self._follow(RUNNER_TOPIC, pacing, Taker(self._take_runners, self._take_runner))
+        pacing = Pacing(RUNNER_WAIT_SHARE * span_s, RUNNER_PAUSE_SHARE * span_s, RUNNER_SPREAD_SHARE * span_s)
+        await self._follow_topic(RUNNER_TOPIC, pacing, RecordHandlers(self._apply_runners, self._apply_runner))
 
     async def follow_entries(self) -> None:
         """Keep the list of peers in step with the store, until cancelled."""
-        pacing = Pacing(ENTRY_WAIT_S, ENTRY_REST_S, ENTRY_SPREAD_S)
-        await self._follow(ENTRY_TOPIC, pacing, Taker(self._take_entries, self._take_entry, self._own.check))
+        pacing = Pacing(ENTRY_WAIT_S, ENTRY_PAUSE_S, ENTRY_SPREAD_S)
+        await self._follow_topic(
+            INSTANCE_TOPIC, pacing, RecordHandlers(self._apply_entries, self._apply_entry, self._own_record.check_list)
+        )
 
     async def follow_quarantine(self) -> None:
         """Keep the quarantine in step with the store, until cancelled."""
-        quarantine = self._beliefs.quarantine
-        pacing = Pacing(QUARANTINE_WAIT_S, QUARANTINE_REST_S, QUARANTINE_SPREAD_S)
-        taker = Taker(quarantine.take_records, quarantine.take_record, quarantine.restore)
-        await self._follow(QUARANTINE_TOPIC, pacing, taker)
-
-    async def _follow(self, topic: str, pacing: Pacing, taker: Taker) -> None:
-        peers = self._beliefs.peers
-        others = Others(self._cfg.name, peers.count, peers.tell_news)
+        quarantine = self._targets.quarantine
+        pacing = Pacing(QUARANTINE_WAIT_S, QUARANTINE_PAUSE_S, QUARANTINE_SPREAD_S)
+        taker = RecordHandlers(quarantine.apply_records, quarantine.apply_record, quarantine.note_missing)
+        await self._follow_topic(QUARANTINE_TOPIC, pacing, taker)
+
+    async def _follow_topic(self, topic: str, pacing: Pacing, handlers: RecordHandlers) -> None:
+        peers = self._targets.peers
+        others = PeerGroup(self._cfg.name, peers.count, peers.broadcast_update)
         # Seeded by name, so that no two instances poll at the same times.
-        watch = Watch(self._new_client(), topic, pacing, taker, others, Random(self._cfg.name))
+        watch = TopicWatch(self._new_client(), topic, pacing, handlers, others, Random(self._cfg.name))
         self._watches[topic] = watch
         await watch.run()
 
-    def _take_operator_records(self, records: tuple[KeyedRecord, ...]) -> None:
+    def _apply_operator_records(self, records: tuple[KeyedRecord, ...]) -> None:
         for record in records:
-            self._take_operator_record(record)
+            self._apply_operator_record(record)
 
-    def _take_operator_record(self, record: KeyedRecord) -> bool:
+    def _apply_operator_record(self, record: KeyedRecord) -> bool:
         if record.key != OPERATOR_KEY or not record.text:
             return False
         try:
@@ -173,36 +179,36 @@
             return False
         return self.put_in_force(cfg)
 
-    def _take_runners(self, records: tuple[KeyedRecord, ...]) -> None:
+    def _apply_runners(self, records: tuple[KeyedRecord, ...]) -> None:
         decoded = (_decode_runner(record) for record in records if record.text)
         self._registered = {runner.key: runner for runner in decoded if runner is not None}
-        self._beliefs.fleet.replace_all(self._registered.values())
+        self._targets.fleet.replace_all(self._registered.values())
 
-    def _take_runner(self, record: KeyedRecord) -> bool:
+    def _apply_runner(self, record: KeyedRecord) -> bool:
         runner = _decode_runner(record) if record.text else None
         before = self._registered.pop(record.key, None)
         if runner is None:
             # A record that can't be decoded also counts as removed: another writer may
             # have replaced it. The runner counts again once it renews its registration.
-            self._beliefs.fleet.remove(record.key)
+            self._targets.fleet.note_unregistered(record.key)
             return before is not None
         self._registered[record.key] = runner
-        self._beliefs.fleet.update(runner)
+        self._targets.fleet.update(runner)
         return runner != before
 
-    def _take_entries(self, records: tuple[KeyedRecord, ...]) -> None:
-        self._beliefs.peers.replace_all(records)
+    def _apply_entries(self, records: tuple[KeyedRecord, ...]) -> None:
+        self._targets.peers.replace_all(records)
         self._share_budget()
-        self._own.check(records)
+        self._own_record.check_list(records)
 
-    def _take_entry(self, record: KeyedRecord) -> bool:
-        changed = self._beliefs.peers.update(record)
+    def _apply_entry(self, record: KeyedRecord) -> bool:
+        changed = self._targets.peers.update(record)
         self._share_budget()
-        self._own.heard(record)
+        self._own_record.check_record(record)
         return changed
 
     def _share_budget(self) -> None:
-        self._beliefs.budgets.share(self._beliefs.peers.count(), self._cfg.retry_reserve)
+        self._targets.budgets.split_reserve(self._targets.peers.count(), self._cfg.retry_reserve)
 
 
 def _decode_runner(record: KeyedRecord) -> Runner | None:
@@ -213,8 +219,8 @@
         return None
 
 
-def _pass_over(_: str) -> None:
+def _ignore_request(_: str) -> None:
     """Ignore the request."""
 
 
-__all__ = ('Beliefs', 'Intake')
+__all__ = ('SyncTargets', 'TopicSync')
--- a/packages/sesamepoint/src/sesamepoint/front/news.py
+++ b/packages/sesamepoint/src/sesamepoint/front/topic_updates.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sesamepoint.platform.store import KeyedRecord
-from sesamepoint.platform.store_era import MAX_ERA
+from sesamepoint.platform.store_epoch import MAX_EPOCH
 
 # Keeps the datagram in one packet: the links of instances carry 5 Mbit/s and
 # more, and the instance that polled sends to all peers at once.
@@ -15,11 +15,11 @@
 # No log has more records than this: a thousand per second take 30 years.
 MAX_OFFSET = 1_000_000_000_000
 Offset = Annotated[int, msgspec.Meta(ge=0, lt=MAX_OFFSET)]
-Era = Annotated[int, msgspec.Meta(ge=0, le=MAX_ERA)]
+Epoch = Annotated[int, msgspec.Meta(ge=0, le=MAX_EPOCH)]
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag='news'):
-    """What one poll of a topic returned, from the offset ``start`` up to ``end``.
+class TopicUpdate(msgspec.Struct, frozen=True, array_like=True, tag='news'):
+    """What one poll of a topic returned, from the offset ``incarnation`` up to ``end``.
 
     Parameters
     ----------
@@ -36,16 +36,16 @@
     start: Offset
     end: Offset
     changed: tuple[KeyedRecord, ...] | None
-    era: Era = 0
+    epoch: Epoch = 0
 
 
-def tellable(changed: dict[str, KeyedRecord], *, private: bool) -> tuple[KeyedRecord, ...] | None:
+def broadcastable(changed: dict[str, KeyedRecord], *, confidential: bool) -> tuple[KeyedRecord, ...] | None:
     """Return the changed records to broadcast; None if peers have to poll the store for them."""
     records = tuple(changed.values())
     size = sum(len(record.key) + len(record.text) for record in records)
-    if records and (private or size > MAX_CHANGED_BYTES):
+    if records and (confidential or size > MAX_CHANGED_BYTES):
         return None
     return records
 
 
-__all__ = ('News', 'tellable')
+__all__ = ('TopicUpdate', 'broadcastable')
--- a/packages/sesamepoint/src/sesamepoint/front/usage_words.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage_messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sesamepoint_core.serving.suspects import Name
+from sesamepoint_core.serving.poison_requests import BoundedName
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
@@ -23,7 +23,7 @@
 Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 
 
-class DutyWord(msgspec.Struct, frozen=True, array_like=True, tag='duty'):
+class DutyMessage(msgspec.Struct, frozen=True, array_like=True, tag='duty'):
     """Announcement of the holder of the duty, with the first window whose counts it needs.
 
     Parameters
@@ -38,44 +38,46 @@
     entry: str
     fence: Number
     held: bool
-    wanted: Number
-    again: bool = False
+    first_window: Number
+    resend: bool = False
 
 
-class Tally(NamedTuple):
+class AccountCount(NamedTuple):
     """Number of requests of an account that began to run."""
 
-    account: Name
-    times: Count
+    account: BoundedName
+    requests: Count
 
 
-class UsageWord(msgspec.Struct, frozen=True, array_like=True, tag='usage'):
-    """Counts of a window at one incarnation of an instance; ``closed`` if they are final."""
+class UsageMessage(msgspec.Struct, frozen=True, array_like=True, tag='usage'):
+    """Counts of a window at one incarnation of an instance; ``not_admitting`` if they are final."""
 
     entry: str
-    start: Number
+    incarnation: Number
     window: Number
     part: Part
     parts: Part
     closed: bool
-    tallies: tuple[Tally, ...]
+    account_counts: tuple[AccountCount, ...]
 
 
-class Counted(NamedTuple):
+class WindowHeader(NamedTuple):
     """Fields that all messages with the counts of a window have in common."""
 
-    entry: str
-    start: int
+    instance: str
+    incarnation: int
     window: int
     closed: bool
 
 
-def usage_words(counted: Counted, counts: Mapping[str, int]) -> Iterator[UsageWord]:
-    """Split ``counts`` into messages of one datagram each; at least one, even without counts."""
-    rows = [Tally(account, times) for account, times in sorted(counts.items())]
+def split_counts(header: WindowHeader, counts: Mapping[str, int]) -> Iterator[UsageMessage]:
+    """Split ``instance_counts`` into messages of one datagram each; at least one, even without counts."""
+    rows = [AccountCount(account, times) for account, times in sorted(counts.items())]
     chunks = [rows[at : at + MAX_ROWS] for at in range(0, len(rows), MAX_ROWS)] or [[]]
     for part, chunk in enumerate(chunks):
-        yield UsageWord(counted.entry, counted.start, counted.window, part, len(chunks), counted.closed, tuple(chunk))
+        yield UsageMessage(
+            header.instance, header.incarnation, header.window, part, len(chunks), header.closed, tuple(chunk)
+        )
 
 
-__all__ = ('Counted', 'DutyWord', 'Tally', 'UsageWord', 'usage_words')
+__all__ = ('AccountCount', 'DutyMessage', 'UsageMessage', 'WindowHeader', 'split_counts')
--- a/packages/sesamepoint/src/sesamepoint/front/reporting.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage_reporting.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from sesamepoint_core.duty.usage import UsageMeter
-from sesamepoint.front.clocks import TrueTime
+from sesamepoint.front.clocks import SmoothedTime
 from sesamepoint.front.duty import Duty, DutyTools
 from sesamepoint.front.usage import UsageCounts
-from sesamepoint.front.usage_words import DutyWord, UsageWord
+from sesamepoint.front.usage_messages import DutyMessage, UsageMessage
 from sesamepoint.supervisor import Child
 
 if TYPE_CHECKING:
@@ -22,19 +22,19 @@
     from sesamepoint.platform.store import StoreClient
 
 
-class Reporting:
+class UsageReporting:
     """Counts usage, and reports it for all instances while this one holds the lease of the duty."""
 
     def __init__(
         self, cfg: DutySettings, peers: Peers, store: StoreClient, network: Network, clock: Clock, rng: Random
     ) -> None:
         """Create the parts without starting them."""
-        true_time = TrueTime(clock)
+        true_time = SmoothedTime(clock)
         meter = UsageMeter(cfg.window_s)
         self._counts = UsageCounts(meter, true_time, clock, peers, rng)
-        self._duty = Duty(cfg, DutyTools(peers, self._counts, meter, store, network, clock, true_time, rng))
-        peers.on_word[DutyWord] = self._duty.heard_holder
-        peers.on_word[UsageWord] = self._duty.heard_usage
+        self._report_duty = Duty(cfg, DutyTools(peers, self._counts, meter, store, network, clock, true_time, rng))
+        peers.handlers[DutyMessage] = self._report_duty.on_duty_message
+        peers.handlers[UsageMessage] = self._report_duty.on_usage_message
 
     def note_run(self, job: Job) -> None:
         """Count a request when a runner has begun to run it."""
@@ -43,15 +43,15 @@
     def children(self) -> list[Child]:
         """Return the background tasks."""
         return [
-            Child('usage', self._counts.run),
-            Child('duty-lease', self._duty.hold),
-            Child('duty-reports', self._duty.report),
+            Child('usage', self._counts.send_counts),
+            Child('duty-lease', self._report_duty.keep_lease),
+            Child('duty-reports', self._report_duty.report_windows),
         ]
 
     async def wind_down(self) -> None:
         """Send the last counts to the peers and give the duty back, before this instance stops."""
-        await self._counts.tell_last()
-        await self._duty.give_back()
+        await self._counts.send_final()
+        await self._report_duty.release()
 
 
-__all__ = ('Reporting',)
+__all__ = ('UsageReporting',)
--- a/packages/sesamepoint/src/sesamepoint/http1/client.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/client.py
@@ -32,26 +32,26 @@
         """
         self.idle_since: float = 0
         self._on_head = on_head
-        self._begun_at: float = 0
-        self.keep_s: float | None = None
+        self._started_at: float = 0
+        self.keep_alive_s: float | None = None
         # Called before any byte of a request is sent; raises if it may not be sent.
         self.admit: Callable[[], None] | None = None
         self._transport = transport
         self._state = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
-        self._sent_whole = True
+        self._request_sent = True
         self._framed = True
 
-    def begin(self, head: RequestHead, body: bytes) -> bytes:
+    def start_request(self, head: RequestHead, body: bytes) -> bytes:
         """Start a request and return its bytes for :meth:`send`.
 
-        ``head`` must contain the length of ``body``. If ``admit`` raises, its
+        ``read_head`` must contain the length of ``body``. If ``admit`` raises, its
         error is passed on and the connection is unchanged.
         """
         if self.admit is not None:
             self.admit()
-        self._sent_whole = False
-        self._begun_at = trio.current_time()
+        self._request_sent = False
+        self._started_at = trio.current_time()
         self._request = h11.Request(method=head.method, target=head.target, headers=list(head.headers))
         wire = self._state.send(self._request) or b''
         self._finish_sending(body)
@@ -69,9 +69,9 @@
             await self._transport.send_all(wire)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
             raise ConnBrokenError(repr(exc)) from exc
-        self._sent_whole = True
+        self._request_sent = True
 
-    async def send_quietly(self, wire: bytes) -> None:
+    async def send_ignoring_errors(self, wire: bytes) -> None:
         """Send while another task reads the response.
 
         A broken connection is ignored here: the reading task notices it, and
@@ -82,7 +82,7 @@
         except ConnBrokenError:
             return
 
-    async def head(self, accept: Callable[[ResponseHead], bool]) -> ResponseHead:
+    async def read_head(self, accept: Callable[[ResponseHead], bool]) -> ResponseHead:
         """Return the head of the first response that ``accept`` accepts.
 
         Other responses are read to their end and dropped: a faulty server may
@@ -101,13 +101,13 @@
             response = ResponseHead(event.status_code, tuple(event.headers))
             if accept(response):
                 self._framed = response.framed
-                self._note_keep_alive(response)
+                self._store_keep_alive(response)
                 if self._on_head is not None:
-                    self._on_head(response, self._begun_at)
+                    self._on_head(response, self._started_at)
                 return response
             await self._skip_answer()
 
-    async def chunk(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes of the body; empty at its end.
 
         Raises
@@ -122,7 +122,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return b''
 
-    async def rest(self) -> bytes:
+    async def read_rest(self) -> bytes:
         """Return the rest of the body.
 
         Raises
@@ -131,11 +131,11 @@
             If the connection ended before the body did.
         """
         parts = []
-        while chunk := await self.chunk():
+        while chunk := await self.read_chunk():
             parts.append(chunk)
         return b''.join(parts)
 
-    async def ask(self, head: RequestHead, body: bytes = b'') -> tuple[ResponseHead, bytes]:
+    async def exchange(self, head: RequestHead, body: bytes = b'') -> tuple[ResponseHead, bytes]:
         """Send a request and return the head and the body of its response.
 
         The response is not checked to belong to the request.
@@ -145,39 +145,39 @@
         ConnBrokenError
             If the connection ended first.
         """
-        await self.send(self.begin(head, body))
-        return await self.head(any_answer), await self.rest()
+        await self.send(self.start_request(head, body))
+        return await self.read_head(accept_any), await self.read_rest()
 
     def recycle(self) -> bool:
         """Prepare for the next request; return False if the connection can't be reused."""
         if self._state.our_state is h11.IDLE:
             return True
-        clean = self._sent_whole and self._framed and not self._state.trailing_data[0]
+        clean = self._request_sent and self._framed and not self._state.trailing_data[0]
         if not clean or self._state.our_state is not h11.DONE or self._state.their_state is not h11.DONE:
             return False
         self._state.start_next_cycle()
         self.idle_since = trio.current_time()
         return True
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the idle connection is open and has no unread bytes.
 
         Unread bytes belong to no request, so that such a connection must not
         be reused.
         """
-        return self._transport.quiet()
+        return self._transport.is_idle()
 
     def close(self) -> None:
         """Close at once; the server notices and cancels the request."""
         self._transport.close()
 
-    def _note_keep_alive(self, found: ResponseHead) -> None:
-        text = header(found.headers, b'keep-alive')
+    def _store_keep_alive(self, response: ResponseHead) -> None:
+        text = header(response.headers, b'keep-alive')
         if text and text.startswith(b'timeout=') and text[len(b'timeout=') :].isdigit():
-            self.keep_s = float(text[len(b'timeout=') :])
+            self.keep_alive_s = float(text[len(b'timeout=') :])
 
     async def _skip_answer(self) -> None:
-        await self.rest()
+        await self.read_rest()
         unparsed, _ = self._state.trailing_data
         self._state = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         if self._request is not None:
@@ -224,9 +224,9 @@
             raise ConnBrokenError(repr(exc)) from exc
 
 
-def any_answer(_: ResponseHead) -> bool:
+def accept_any(_: ResponseHead) -> bool:
     """Accept any response, on a connection that never has more than one request."""
     return True
 
 
-__all__ = ('ClientConn', 'any_answer')
+__all__ = ('ClientConn', 'accept_any')
--- a/packages/sesamepoint/src/sesamepoint/http1/pacing.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/link_pacing.py
@@ -6,9 +6,9 @@
 
 # Share of the link's rate that large bodies may use; the rest is for responses
 # to callers, which are not delayed.
-USED_SHARE = 0.9
+MAX_LINK_SHARE = 0.9
 # Maximum length of the queue, as the time that the link needs to send it.
-QUEUE_S = 0.003
+MAX_QUEUE_S = 0.003
 # Size of the pieces in which bodies are sent: two packets.
 PIECE_BYTES = 2920
 
@@ -25,17 +25,17 @@
 
     def __init__(self, link_bytes_s: float) -> None:
         """Pace to a link that carries ``link_bytes_s`` bytes per second."""
-        self._rate = USED_SHARE * link_bytes_s
-        self._free_at: float = 0
+        self._bytes_s = MAX_LINK_SHARE * link_bytes_s
+        self._queue_empty_at: float = 0
 
-    def note(self, size: int) -> None:
+    def count_unpaced(self, size: int) -> None:
         """Account for ``size`` bytes that are sent without waiting."""
-        self._free_at = max(self._free_at, trio.current_time()) + size / self._rate
+        self._queue_empty_at = max(self._queue_empty_at, trio.current_time()) + size / self._bytes_s
 
-    async def take(self, size: int) -> None:
+    async def wait_to_send(self, size: int) -> None:
         """Wait until ``size`` more bytes fit into the queue."""
-        self.note(size)
-        ahead_s = self._free_at - trio.current_time() - QUEUE_S
+        self.count_unpaced(size)
+        ahead_s = self._queue_empty_at - trio.current_time() - MAX_QUEUE_S
         if ahead_s > 0:
             await trio.sleep(ahead_s)
 
--- a/packages/sesamepoint/src/sesamepoint/http1/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/messages.py
@@ -49,7 +49,7 @@
         super().__init__(f'connection broken ({cause})', 'requests that may be repeated are sent again')
 
 
-class RejectedMessageError(SesamepointError):
+class RejectedRequestError(SesamepointError):
     """A request violates the protocol or exceeds a limit; the caller gets the message."""
 
     def __init__(self, status: int, cause: str) -> None:
@@ -70,7 +70,7 @@
     'ConnBrokenError',
     'ConnectFailedError',
     'Headers',
-    'RejectedMessageError',
+    'RejectedRequestError',
     'RequestHead',
     'ResponseHead',
     'header',
--- a/packages/sesamepoint/src/sesamepoint/http1/server.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/server.py
@@ -7,7 +7,7 @@
 import h11
 import trio
 
-from sesamepoint.http1.messages import RejectedMessageError, RequestHead
+from sesamepoint.http1.messages import RejectedRequestError, RequestHead
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -18,13 +18,13 @@
 RECEIVE_BYTES = 65536
 # Bytes of pipelined requests that are buffered while a response is being sent;
 # beyond them nothing more is read from the caller.
-MAX_HELD_BYTES = 65536
+MAX_BUFFERED_BYTES = 65536
 BAD_REQUEST = 400
 REQUEST_TIMEOUT = 408
 BODY_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
 # Colon, space and line end (CR LF) of a header field.
-FIELD_EXTRA_BYTES = 4
+FIELD_OVERHEAD_BYTES = 4
 DEFAULT_HEAD_BYTES = 16384
 DEFAULT_BODY_BYTES = 4194304
 DEFAULT_HEAD_S = 3.0
@@ -43,15 +43,15 @@
     idle_s: float = DEFAULT_IDLE_S
 
 
-class Message(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A complete request.
 
-    The arrival time is on trio's clock; ``caller`` is the address of the caller.
+    The arrival time is on trio's clock; ``new_caller`` is the address of the caller.
     """
 
     head: RequestHead
     body: bytes
-    arrived: float
+    arrived_at: float
     caller: str = ''
 
 
@@ -66,18 +66,18 @@
 class ServerConn:
     """A server connection: reads requests and writes responses one after the other."""
 
-    def __init__(self, transport: Transport, limits: ServerLimits, ending: Callable[[], bool] = _never) -> None:
+    def __init__(self, transport: Transport, limits: ServerLimits, should_close: Callable[[], bool] = _never) -> None:
         """Use ``transport``, which the creator of this object closes.
 
         The callable is invoked for each response; if it returns true, the
         response announces that the connection closes after it.
         """
         self.closing = False
-        self._ending = ending
+        self._should_close = should_close
         self._transport = transport
         self._limits = limits
         self._state = h11.Connection(h11.SERVER, limits.head_bytes)
-        self._held = b''
+        self._buffered = b''
 
     @property
     def reusable(self) -> bool:
@@ -85,11 +85,11 @@
         state = self._state
         return not self.closing and state.our_state is h11.DONE and state.their_state is h11.DONE
 
-    def next_cycle(self) -> None:
+    def start_next_cycle(self) -> None:
         """Prepare for the next request."""
         self._state.start_next_cycle()
 
-    async def first_byte(self) -> bool:
+    async def wait_for_request(self) -> bool:
         """Wait for a request to start.
 
         Returns
@@ -97,9 +97,9 @@
         bool
             False if none starts in time, or the caller closes the connection.
         """
-        if self._held:
-            self._feed(self._held)
-            self._held = b''
+        if self._buffered:
+            self._feed(self._buffered)
+            self._buffered = b''
             return True
         if self._state.trailing_data[0]:
             return True
@@ -109,37 +109,37 @@
             return bool(received)
         return False
 
-    async def request(self) -> Message:
+    async def read_request(self) -> ReceivedRequest:
         """Read a complete request.
 
         Raises
         ------
-        RejectedMessageError
+        RejectedRequestError
             If the request is invalid, too large or too slow; with the status of the response.
         CallerGoneError
             If the caller closed the connection before the request was complete.
         """
         arrived = trio.current_time()
         with trio.move_on_after(self._limits.head_s):
-            head = await self._head()
-            return Message(head, await self._body(), arrived, self._transport.peer)
-        raise RejectedMessageError(REQUEST_TIMEOUT, 'the request took too long to arrive')
+            head = await self._read_head()
+            return ReceivedRequest(head, await self._read_body(), arrived, self._transport.peer)
+        raise RejectedRequestError(REQUEST_TIMEOUT, 'the request took too long to arrive')
 
-    async def watch(self) -> None:
+    async def wait_for_close(self) -> None:
         """Return once the caller has closed the connection; buffer what it sends until then."""
         while True:
             received = await self._receive()
             if not received:
                 return
-            self._held += received
-            if len(self._held) > MAX_HELD_BYTES:
+            self._buffered += received
+            if len(self._buffered) > MAX_BUFFERED_BYTES:
                 await trio.sleep_forever()
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Send the head of a response; its body and :meth:`end` follow."""
         await self._send(self._head_bytes(status, headers))
 
-    async def part(self, body: bytes) -> None:
+    async def send_part(self, body: bytes) -> None:
         """Send a part of the response's body."""
         await self._send(self._state.send(h11.Data(data=body)) or b'')
 
@@ -147,7 +147,7 @@
         """End a response that :meth:`begin` started."""
         await self._send(self._state.send(h11.EndOfMessage()) or b'')
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response at once."""
         framed = (*headers, (b'content-length', str(len(body)).encode()))
         wire = self._head_bytes(status, framed)
@@ -166,17 +166,17 @@
             close notices it too, but only once it is scheduled, which may take
             half a second in a busy process.
         """
-        if self._transport.ended():
+        if self._transport.peer_closed():
             raise CallerGoneError
 
     def _head_bytes(self, status: int, headers: Headers) -> bytes:
         sent = list(headers)
-        self.closing = self.closing or self._ending()
+        self.closing = self.closing or self._should_close()
         if self.closing:
             sent.append((b'connection', b'close'))
         return self._state.send(h11.Response(status_code=status, headers=sent)) or b''
 
-    async def _head(self) -> RequestHead:
+    async def _read_head(self) -> RequestHead:
         event = await self._event()
         if not isinstance(event, h11.Request):
             raise CallerGoneError
@@ -187,7 +187,7 @@
             await self._send(self._state.send(h11.InformationalResponse(status_code=100, headers=[])) or b'')
         return head
 
-    async def _body(self) -> bytes:
+    async def _read_body(self) -> bytes:
         parts: list[bytes] = []
         size = 0
         while True:
@@ -198,7 +198,7 @@
                 raise CallerGoneError
             size += len(event.data)
             if size > self._limits.body_bytes:
-                raise RejectedMessageError(BODY_TOO_LARGE, f'the body is over {self._limits.body_bytes} bytes')
+                raise RejectedRequestError(BODY_TOO_LARGE, f'the body is over {self._limits.body_bytes} bytes')
             parts.append(bytes(event.data))
 
     async def _event(self) -> object:
@@ -216,7 +216,7 @@
             return self._state.next_event()
         except h11.RemoteProtocolError as exc:
             status = HEAD_TOO_LARGE if exc.error_status_hint == HEAD_TOO_LARGE else BAD_REQUEST
-            raise RejectedMessageError(status, str(exc)) from exc
+            raise RejectedRequestError(status, str(exc)) from exc
 
     def _feed(self, received: bytes) -> None:
         self._state.receive_data(received)
@@ -242,7 +242,7 @@
     """
     names = [name for name, _ in head.headers if name in {b'content-length', b'transfer-encoding'}]
     if len(names) > 1:
-        raise RejectedMessageError(BAD_REQUEST, 'more than one length')
+        raise RejectedRequestError(BAD_REQUEST, 'more than one length')
 
 
 def _check_size(head: RequestHead, limit: int) -> None:
@@ -250,9 +250,9 @@
 
     The parser checks the size only while a head is incomplete.
     """
-    fields = sum(len(name) + len(text) + FIELD_EXTRA_BYTES for name, text in head.headers)
+    fields = sum(len(name) + len(text) + FIELD_OVERHEAD_BYTES for name, text in head.headers)
     if len(head.method) + len(head.target) + fields > limit:
-        raise RejectedMessageError(HEAD_TOO_LARGE, f'the head is over {limit} bytes')
+        raise RejectedRequestError(HEAD_TOO_LARGE, f'the head is over {limit} bytes')
 
 
-__all__ = ('CallerGoneError', 'Message', 'ServerConn', 'ServerLimits')
+__all__ = ('CallerGoneError', 'ReceivedRequest', 'ServerConn', 'ServerLimits')
--- a/packages/sesamepoint/src/sesamepoint/http1/sockets.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/socket_options.py
@@ -10,7 +10,7 @@
 
 # The connection breaks if sent data is not acknowledged for this long: longer
 # than two retransmissions (0.2 s and 0.4 s), far below any deadline.
-UNACKED_MS = 1500
+UNACKED_TIMEOUT_MS = 1500
 # An idle connection is probed after 1 s, then each second; it breaks after 3
 # probes without a response.
 KEEPALIVE_IDLE_S = 1
@@ -18,7 +18,7 @@
 KEEPALIVE_PROBES = 3
 
 
-def tune(sock: trio.socket.SocketType) -> None:
+def set_dead_peer_timeouts(sock: trio.socket.SocketType) -> None:
     """Set the options that break a connection whose far end is dead.
 
     A far end that is cut off or powered off sends no reset; without these
@@ -28,7 +28,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
 
 
-__all__ = ('tune',)
+__all__ = ('set_dead_peer_timeouts',)
--- a/packages/sesamepoint/src/sesamepoint/http1/transport.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/transport.py
@@ -7,14 +7,14 @@
 
 import trio
 
+from sesamepoint.http1.link_pacing import PIECE_BYTES
 from sesamepoint.http1.messages import ConnectFailedError
-from sesamepoint.http1.pacing import PIECE_BYTES
-from sesamepoint.http1.sockets import tune
+from sesamepoint.http1.socket_options import set_dead_peer_timeouts
 
 if TYPE_CHECKING:
     from sesamepoint_core.serving.address import Address
 
-    from sesamepoint.http1.pacing import LinkPacer
+    from sesamepoint.http1.link_pacing import LinkPacer
 
 
 class Transport(Protocol):
@@ -37,10 +37,10 @@
     def close(self) -> None:
         """Close at once."""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the connection is open and has no unread bytes."""
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Return whether the far end has closed and all its bytes are read."""
 
 
@@ -55,10 +55,10 @@
     """A transport over a TCP socket."""
 
     def __init__(self, stream: trio.SocketStream, pacer: LinkPacer | None = None) -> None:
-        """Take ownership of ``stream``; ``pacer``, if given, paces its sends."""
+        """Take ownership of ``stream``; ``token_bucket``, if given, paces its sends."""
         self._stream = stream
         self._pacer = pacer
-        self.peer = _peer(stream)
+        self.peer = _peer_host(stream)
 
     async def send_all(self, sent: bytes) -> None:
         """Send all bytes."""
@@ -66,7 +66,7 @@
             return await self._stream.send_all(sent)
         for start in range(0, len(sent), PIECE_BYTES):
             piece = sent[start : start + PIECE_BYTES]
-            await self._pacer.take(len(piece))
+            await self._pacer.wait_to_send(len(piece))
             await self._stream.send_all(piece)
 
     async def receive_some(self, max_bytes: int) -> bytes:
@@ -77,11 +77,11 @@
         """Close at once."""
         self._stream.socket.close()
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the connection is open and has no unread bytes."""
         return _peek(self._stream) is None
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Return whether the far end has closed and all its bytes are read."""
         return _peek(self._stream) == b''
 
@@ -90,7 +90,7 @@
     """Opens connections over TCP sockets."""
 
     def __init__(self, pacer: LinkPacer | None = None) -> None:
-        """Let ``pacer``, if given, pace the sends of all connections."""
+        """Let ``token_bucket``, if given, pace the sends of all connections."""
         self._pacer = pacer
 
     async def connect(self, address: Address, timeout_s: float) -> Transport:
@@ -106,11 +106,11 @@
         except BaseException:
             sock.close()
             raise
-        tune(sock)
+        set_dead_peer_timeouts(sock)
         return SocketTransport(trio.SocketStream(sock), self._pacer)
 
 
-def _peer(stream: trio.SocketStream) -> str:
+def _peer_host(stream: trio.SocketStream) -> str:
     try:
         return str(stream.socket.getpeername()[0])
     except OSError:
--- a/packages/sesamepoint/src/sesamepoint/keys/home.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/home.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sesamepoint.platform.messages import LogPage, LogService
+    from sesamepoint.platform.service_interfaces import LogPage, LogService
 
 POLL_WAIT_S = 5.0
 RETRY_S = 0.2
--- a/packages/sesamepoint/src/sesamepoint/keys/homes.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/homes.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from sesamepoint.platform.messages import LogService
+    from sesamepoint.platform.service_interfaces import LogService
 
 
 class KeyHomes:
--- a/packages/sesamepoint/src/sesamepoint/link/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/link/messages.py
@@ -19,7 +19,7 @@
     Parameters
     ----------
     kind
-        Which kind of fleet serves it: ``engine`` or ``plain``.
+        Which kind of fleet serves it: ``plan`` or ``plain_runner``.
     method, path
         For plain services, the call as the caller made it.
     body
--- a/packages/sesamepoint/src/sesamepoint/log_output.py
+++ b/packages/sesamepoint/src/sesamepoint/log_output.py
@@ -10,7 +10,7 @@
 # Rate and burst of lines below level WARNING. An instance with 100 requests per
 # second writes about 130 lines per second; a line costs about 0.1 ms of CPU
 # time, so that 300 lines per second take 3% of a core.
-LINES_A_SECOND = 300.0
+LINES_PER_S = 300.0
 BURST_LINES = 600.0
 # A pipe that polls as writable accepts this much without blocking (PIPE_BUF).
 MAX_LINE_BYTES = 4096
@@ -46,32 +46,32 @@
         """Do nothing, since nothing is buffered."""
 
 
-class RateLimit(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Limits the rate of log lines; warnings and errors always pass."""
 
     def __init__(self) -> None:
         """Start with the full burst."""
         super().__init__()
         self.suppressed = 0
-        self._credit = BURST_LINES
-        self._at = time.monotonic()
+        self._tokens = BURST_LINES
+        self._refilled_at = time.monotonic()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether ``record`` is written.
+        """Return whether ``registration`` is written.
 
         The next line that passes gets the number of suppressed ones as a field.
         """
         now = time.monotonic()
-        self._credit = min(self._credit + (now - self._at) * LINES_A_SECOND, BURST_LINES)
-        self._at = now
-        if record.levelno < logging.WARNING and self._credit < 1:
+        self._tokens = min(self._tokens + (now - self._refilled_at) * LINES_PER_S, BURST_LINES)
+        self._refilled_at = now
+        if record.levelno < logging.WARNING and self._tokens < 1:
             self.suppressed += 1
             return False
-        self._credit = max(self._credit - 1, 0)
+        self._tokens = max(self._tokens - 1, 0)
         if self.suppressed:
             record.suppressed = self.suppressed
             self.suppressed = 0
         return True
 
 
-__all__ = ('NonBlockingOutput', 'RateLimit')
+__all__ = ('LogRateLimit', 'NonBlockingOutput')
--- a/packages/sesamepoint/src/sesamepoint/platform/engine_calls.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/engine_cache_calls.py
@@ -9,7 +9,7 @@
 from sesamepoint_core.serving.prompt import Part
 from sesamepoint_core.serving.runner import StartMs
 from sesamepoint.http1.messages import ConnBrokenError, RequestHead
-from sesamepoint.platform.names import KV_HANDLE_PATH, KV_LIST_PATH
+from sesamepoint.platform.wire_names import KV_HANDLE_PATH, KV_LIST_PATH
 
 if TYPE_CHECKING:
     from sesamepoint_core.serving.address import Address
@@ -18,7 +18,7 @@
 STATUS_OK = 200
 
 
-class _Kept(msgspec.Struct, array_like=True):
+class _CachedBlock(msgspec.Struct, array_like=True):
     # Empty on current deployments.
     group: str
     key: str
@@ -26,24 +26,24 @@
     model: str
 
 
-class _KeptReply(msgspec.Struct):
+class _CachedBlocksReply(msgspec.Struct):
     # All prefix blocks in the cache, not those held for a caller.
-    held: list[_Kept]
+    held: list[_CachedBlock]
     # Start time of the engine's incarnation; not all deployments send it.
     born: StartMs = 0
 
 
-class Kept(NamedTuple):
+class CachedBlocks(NamedTuple):
     """The prefix blocks in an engine's cache, and the start time of the engine.
 
     ``born_ms`` is as in :class:`~sesamepoint_core.serving.runner.Runner`.
     """
 
-    parts: tuple[Part, ...]
+    blocks: tuple[Part, ...]
     born_ms: int
 
 
-async def list_kept(conn: ClientConn, address: Address) -> Kept:
+async def list_cached_blocks(conn: ClientConn, address: Address) -> CachedBlocks:
     """Return the prefix blocks in the cache of the engine at ``address``.
 
     Raises
@@ -51,17 +51,17 @@
     ConnBrokenError
         If there was no response, or one with another status or a malformed body.
     """
-    head, body = await conn.ask(RequestHead(b'GET', KV_LIST_PATH.encode(), _headers(address)))
+    head, body = await conn.exchange(RequestHead(b'GET', KV_LIST_PATH.encode(), _request_headers(address)))
     if head.status != STATUS_OK:
         raise ConnBrokenError(f'status {head.status}')
     try:
-        reply = msgspec.json.decode(body, type=_KeptReply)
+        reply = msgspec.json.decode(body, type=_CachedBlocksReply)
     except msgspec.DecodeError as exc:
         raise ConnBrokenError(str(exc)) from exc
-    return Kept(tuple(Part(block.key, block.tokens) for block in reply.held), reply.born)
+    return CachedBlocks(tuple(Part(block.key, block.tokens) for block in reply.held), reply.born)
 
 
-async def free_handle(conn: ClientConn, address: Address, kv_handle: str) -> None:
+async def free_kv_handle(conn: ClientConn, address: Address, kv_handle: str) -> None:
     """Make the engine at ``address`` free the KV cache of a prompt that it prefilled.
 
     Raises
@@ -70,11 +70,11 @@
         If the connection ended before the response.
     """
     target = f'{KV_HANDLE_PATH}{kv_handle}'.encode()
-    await conn.ask(RequestHead(b'DELETE', target, (*_headers(address), (b'content-length', b'0'))))
+    await conn.exchange(RequestHead(b'DELETE', target, (*_request_headers(address), (b'content-length', b'0'))))
 
 
-def _headers(address: Address) -> tuple[tuple[bytes, bytes], ...]:
+def _request_headers(address: Address) -> tuple[tuple[bytes, bytes], ...]:
     return ((b'host', str(address).encode()),)
 
 
-__all__ = ('Kept', 'free_handle', 'list_kept')
+__all__ = ('CachedBlocks', 'free_kv_handle', 'list_cached_blocks')
--- a/packages/sesamepoint/src/sesamepoint/platform/http.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http_client.py
@@ -16,7 +16,7 @@
 _BROKEN = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, httpcore.ConnectError)
 
 
-class HttpCaller:
+class HttpClient:
     """A client of one service; each failure raises ``PlatformUnavailableError``."""
 
     def __init__(self, service: str, url: str) -> None:
@@ -26,11 +26,11 @@
         self._pool = httpcore.AsyncConnectionPool(max_connections=MAX_CONNECTIONS)
 
     @classmethod
-    def from_config(cls, service: str, cfg: ServiceSettings) -> HttpCaller:
+    def from_config(cls, service: str, cfg: ServiceSettings) -> HttpClient:
         """Build a client from the settings of one service."""
         return cls(service, cfg['url'])
 
-    async def call(self, method: str, path: str, body: bytes, timeout_s: float) -> bytes:
+    async def request(self, method: str, path: str, body: bytes, timeout_s: float) -> bytes:
         """Return the body of a successful reply.
 
         Raises
@@ -48,4 +48,4 @@
         return reply.content
 
 
-__all__ = ('HttpCaller',)
+__all__ = ('HttpClient',)
--- a/packages/sesamepoint/src/sesamepoint/platform/http_log.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http_log.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from sesamepoint_core.units import MS_PER_S
-from sesamepoint.platform.http import HttpCaller
-from sesamepoint.platform.messages import LIST_ADAPTERS, LOG_ADAPTERS, Instance, LogPage, LogRecord
+from sesamepoint.platform.http_client import HttpClient
+from sesamepoint.platform.service_interfaces import LIST_ADAPTERS, LOG_ADAPTERS, Instance, LogPage, LogRecord
 
 if TYPE_CHECKING:
     from sesamepoint.settings.model import ServiceSettings
@@ -34,24 +34,24 @@
 class HttpLog:
     """The log over HTTP: POST appends, a long-polling GET reads."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, client: HttpClient) -> None:
         """Send all requests through an HTTP client."""
-        self._caller = caller
+        self._client = client
 
     @classmethod
     def from_config(cls, cfg: ServiceSettings) -> HttpLog:
         """Build a client from the settings of the log."""
-        return cls(HttpCaller.from_config('log', cfg))
+        return cls(HttpClient.from_config('log', cfg))
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Append a record and return its offset."""
-        reply = await self._caller.call('POST', f'/streams/{stream}', payload, CALL_TIMEOUT_S)
+        reply = await self._client.request('POST', f'/streams/{stream}', payload, CALL_TIMEOUT_S)
         return msgspec.json.decode(reply, type=AppendReply).offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return the records from offset ``start`` on."""
+        """Return the records from offset ``incarnation`` on."""
         path = f'/streams/{stream}?from={start}&wait_ms={int(wait_s * MS_PER_S)}'
-        reply = await self._caller.call('GET', path, b'', wait_s + CALL_TIMEOUT_S)
+        reply = await self._client.request('GET', path, b'', wait_s + CALL_TIMEOUT_S)
         page = msgspec.json.decode(reply, type=ReadReply)
         records = tuple(LogRecord(offset, text.encode()) for offset, text in page.records)
         return LogPage(records, page.earliest, page.end)
@@ -61,18 +61,18 @@
 class HttpInstanceList:
     """The list of instances over HTTP; it lags behind."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, client: HttpClient) -> None:
         """Send all requests through an HTTP client."""
-        self._caller = caller
+        self._client = client
 
     @classmethod
     def from_config(cls, cfg: ServiceSettings) -> HttpInstanceList:
         """Build a client from the settings of the list."""
-        return cls(HttpCaller.from_config('instance list', cfg))
+        return cls(HttpClient.from_config('instance list', cfg))
 
     async def fetch(self) -> tuple[Instance, ...]:
         """Return the list, which may be out of date."""
-        reply = await self._caller.call('GET', '/instances', b'', CALL_TIMEOUT_S)
+        reply = await self._client.request('GET', '/instances', b'', CALL_TIMEOUT_S)
         return msgspec.json.decode(reply, type=tuple[Instance, ...])
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/registration.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/runner_registration.py
@@ -8,27 +8,27 @@
 
 from sesamepoint_core.serving.address import Address
 from sesamepoint_core.serving.runner import MAX_START_MS, Runner, Stage
-from sesamepoint.platform.fields import Count, Measure, Positive, Text
-from sesamepoint.platform.unreadable import UnreadableRecordError
+from sesamepoint.platform.field_types import NonEmptyText, NonNegativeFloat, NonNegativeInt, PositiveInt
+from sesamepoint.platform.unreadable_record import UnreadableRecordError
 
-_Start = Annotated[int, msgspec.Meta(gt=0, lt=MAX_START_MS)]
+_StartTimeMs = Annotated[int, msgspec.Meta(gt=0, lt=MAX_START_MS)]
 
 
 class _Registration(msgspec.Struct):
-    service: Text
-    address: Text
-    zone: Text
+    service: NonEmptyText
+    address: NonEmptyText
+    zone: NonEmptyText
     # Version of the runner's software; not used here.
     version: str
-    slots: Positive
+    slots: PositiveInt
     state: Literal['ready', 'draining']
-    cold_remaining_ms: Measure
+    cold_remaining_ms: NonNegativeFloat
     # Number of orders that the runner has accepted, not a version of the record.
-    sequence: Count
+    sequence: NonNegativeInt
     # Set for engines only.
     stage: Literal['prefill', 'decode'] | msgspec.UnsetType = msgspec.UNSET
     # Start time of the runner's incarnation, in ms; not all deployments send it.
-    born: _Start | msgspec.UnsetType = msgspec.UNSET
+    born: _StartTimeMs | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_runner(key: str, text: bytes) -> Runner:
@@ -49,16 +49,16 @@
         ) from exc
 
 
-def _runner(key: str, found: _Registration) -> Runner:
+def _runner(key: str, registration: _Registration) -> Runner:
     return Runner(
         key=key,
-        service=found.service,
-        address=Address.parse(found.address),
-        zone=found.zone,
-        slots=found.slots,
-        leaving=found.state == 'draining',
-        stage=Stage.plain if found.stage is msgspec.UNSET else Stage(found.stage),
-        born_ms=0 if found.born is msgspec.UNSET else found.born,
+        service=registration.service,
+        address=Address.parse(registration.address),
+        zone=registration.zone,
+        slots=registration.slots,
+        draining=registration.state == 'draining',
+        stage=Stage.plain if registration.stage is msgspec.UNSET else Stage(registration.stage),
+        born_ms=0 if registration.born is msgspec.UNSET else registration.born,
     )
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/runner_words.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/runner_status_headers.py
@@ -6,71 +6,71 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from sesamepoint_core.registry import Registry
-from sesamepoint_core.runner_limit.belief import parse_rate
-from sesamepoint_core.runner_words.texts import parse_leaving, parse_rest
-from sesamepoint_core.runner_words.words import Leaves, Limits, NoLimit, Rests, Unreadable
-from sesamepoint.front.job import successful
-from sesamepoint.platform import names
-from sesamepoint.platform.headers import signed
+from sesamepoint_core.runner_limit.known_limit import parse_rate
+from sesamepoint_core.runner_status.parsing import parse_back_off, parse_draining
+from sesamepoint_core.runner_status.status_headers import BackOff, Draining, NoRateLimit, RateLimit, Unreadable
+from sesamepoint.front.job import is_success
+from sesamepoint.platform import wire_names
+from sesamepoint.platform.headers import is_signed
 
 if TYPE_CHECKING:
-    from sesamepoint_core.runner_words.words import RunnerWord
+    from sesamepoint_core.runner_status.status_headers import StatusHeader
     from sesamepoint.http1.messages import ResponseHead
 
 UNAVAILABLE = 503
 # Length to which an unreadable header value is cut for the log.
-SHOWN_TEXT = 40
+MAX_LOGGED_CHARS = 40
 
 FoundT = TypeVar('FoundT')
-Decoder = Callable[['ResponseHead'], 'Iterator[RunnerWord]']
+Decoder = Callable[['ResponseHead'], 'Iterator[StatusHeader]']
 
 DECODERS: Registry[Decoder] = Registry('status header decoder')
 
 
-def words_of(head: ResponseHead) -> list[RunnerWord]:
+def decode_status(head: ResponseHead) -> list[StatusHeader]:
     """Return all status headers in the head of a runner's response."""
     return [decoded for name in DECODERS for decoded in DECODERS.get(name)(head)]
 
 
 @DECODERS.register('leaving')
-def _leaving(head: ResponseHead) -> Iterator[RunnerWord]:
+def _draining(head: ResponseHead) -> Iterator[StatusHeader]:
     """Decode draining; one of several headers that reports it is enough."""
-    parsed, unreadable = _read(head, names.RUNNER_LEAVING, 'leaving', parse_leaving)
+    parsed, unreadable = _parse_all(head, wire_names.RUNNER_DRAINING, 'leaving', parse_draining)
     if any(parsed):
-        yield Leaves()
+        yield Draining()
     yield from unreadable
 
 
 @DECODERS.register('rest')
-def _rest(head: ResponseHead) -> Iterator[RunnerWord]:
+def _back_off(head: ResponseHead) -> Iterator[StatusHeader]:
     """Decode a back-off; the longest of several applies.
 
     Only a response with status 503 can ask for a back-off.
     """
     if head.status != UNAVAILABLE:
         return
-    parsed, unreadable = _read(head, names.RETRY_AFTER, 'rest', parse_rest)
+    parsed, unreadable = _parse_all(head, wire_names.RETRY_AFTER, 'rest', parse_back_off)
     if max(parsed, default=0) > 0:
-        yield Rests(max(parsed))
+        yield BackOff(max(parsed))
     yield from unreadable
 
 
 @DECODERS.register('limit')
-def _limit(head: ResponseHead) -> Iterator[RunnerWord]:
+def _rate_limit(head: ResponseHead) -> Iterator[StatusHeader]:
     """Decode the rate limit; the last readable one of several applies.
 
     A successful signed response without the header means that there is no limit.
     """
-    parsed, unreadable = _read(head, names.RUNNER_LIMIT, 'limit', parse_rate)
+    parsed, unreadable = _parse_all(head, wire_names.RUNNER_LIMIT, 'limit', parse_rate)
     if parsed:
-        yield Limits(parsed[-1])
-    elif not unreadable and successful(head.status) and signed(head):
-        yield NoLimit()
+        yield RateLimit(parsed[-1])
+    elif not unreadable and is_success(head.status) and is_signed(head):
+        yield NoRateLimit()
     yield from unreadable
 
 
-def _read(
-    head: ResponseHead, name: bytes, word: str, parse: Callable[[str], FoundT]
+def _parse_all(
+    head: ResponseHead, name: bytes, header: str, parse: Callable[[str], FoundT]
 ) -> tuple[list[FoundT], list[Unreadable]]:
     parsed: list[FoundT] = []
     unreadable: list[Unreadable] = []
@@ -79,8 +79,8 @@
         try:
             parsed.append(parse(text))
         except ValueError:
-            unreadable.append(Unreadable(word, text[:SHOWN_TEXT] or '(empty)'))
+            unreadable.append(Unreadable(header, text[:MAX_LOGGED_CHARS] or '(empty)'))
     return parsed, unreadable
 
 
-__all__ = ('DECODERS', 'UNAVAILABLE', 'words_of')
+__all__ = ('DECODERS', 'UNAVAILABLE', 'decode_status')
--- a/packages/sesamepoint/src/sesamepoint/platform/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/service_interfaces.py
@@ -30,7 +30,7 @@
     """One row of the platform's list of instances."""
 
     address: str
-    leaving: bool
+    draining: bool
 
 
 class LogService(Protocol):
@@ -43,9 +43,9 @@
         """
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return the records from ``start`` on; wait up to ``wait_s`` for the first.
+        """Return the records from ``incarnation`` on; wait up to ``wait_s`` for the first.
 
-        If ``start`` is beyond the end, the page has no records, only the end.
+        If ``incarnation`` is beyond the end, the page has no records, only the end.
         """
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/settings.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/settings.py
@@ -7,7 +7,7 @@
 from sesamepoint_core.serving.address import Address
 from sesamepoint_core.units import BITS_PER_BYTE, BITS_PER_MEGABIT, MS_PER_S
 from sesamepoint.front.settings import DutySettings, FrontSettings, StoreSettings
-from sesamepoint.platform.names import USAGE_DUTY
+from sesamepoint.platform.wire_names import USAGE_DUTY
 from sesamepoint.settings_error import SettingsError
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 
 
 def read_settings(path: Path) -> FrontSettings:
-    """Read the settings file ``path``: lines of ``name=value``.
+    """Read the settings file ``placement``: lines of ``name=value``.
 
     Raises
     ------
@@ -64,18 +64,18 @@
         retry_window_s=float(pairs['bounds.budget_window_s']),
         link_bytes_s=float(pairs['limits.link_mbps']) * BITS_PER_MEGABIT / BITS_PER_BYTE,
         store=StoreSettings(Address.parse(pairs['platform.address'])),
-        duty=_duty(pairs),
+        duty=_duty_settings(pairs),
     )
 
 
-def _duty(pairs: Mapping[str, str]) -> DutySettings | None:
+def _duty_settings(pairs: Mapping[str, str]) -> DutySettings | None:
     if USAGE_DUTY not in pairs.get('cloud.duties', '').split(','):
         return None
     return DutySettings(
         address=Address.parse(pairs['cloud.address']),
         window_s=float(pairs['bounds.usage_window_s']),
-        late_s=float(pairs['bounds.usage_late_s']),
-        turns_s=_seconds(pairs, 'bounds.lease_ms'),
+        report_delay_s=float(pairs['bounds.usage_late_s']),
+        lease_s=_seconds(pairs, 'bounds.lease_ms'),
     )
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/store.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store.py
@@ -22,14 +22,14 @@
     from sesamepoint_core.serving.address import Address
 
     from sesamepoint.http1.transport import Network
-    from sesamepoint.platform.store_era import StoreEra
+    from sesamepoint.platform.store_epoch import StoreEpoch
 
 STATUS_OK = 200
 STATUS_GONE = 410
-STATUS_MOVED_ON = 412
-CONNECT_S = 0.5
+STATUS_PRECONDITION_FAILED = 412
+CONNECT_TIMEOUT_S = 0.5
 # The store normally responds in milliseconds, and in 0.25 s when it is slow.
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 _TWO_OFFSETS = struct.Struct('>QQ')
 _LENGTH = struct.Struct('>I')
 
@@ -41,7 +41,7 @@
     text: bytes
 
 
-class Newest(NamedTuple):
+class TopicRecords(NamedTuple):
     """Records of a topic, and the offset to follow it from.
 
     Offsets are comparable only within one epoch of the store.
@@ -49,36 +49,36 @@
 
     records: tuple[KeyedRecord, ...]
     end: int
-    era: int = 0
+    epoch: int = 0
 
 
 class HistoryGoneError(Exception):
     """The requested records were deleted or never existed; read the newest of each key."""
 
 
-class Appended(NamedTuple):
+class AppendResult(NamedTuple):
     """End offset of the log after an append, and the store's epoch."""
 
     end: int
-    era: int
+    epoch: int
 
 
-class StoreAnswer(NamedTuple):
+class StoreResponse(NamedTuple):
     """A response of the store, and the epoch it belongs to."""
 
     status: int
-    text: bytes
-    era: int
+    body: bytes
+    epoch: int
 
 
-class _Entry(msgspec.Struct, rename={'encoded': 'value'}):
+class _NewestEntry(msgspec.Struct, rename={'encoded': 'value'}):
     key: str
     # The record in base64, without the key that precedes it in the log.
     encoded: str
 
 
 class _NewestReply(msgspec.Struct, rename={'entries': 'items'}):
-    entries: list[_Entry]
+    entries: list[_NewestEntry]
     has_more: bool
     end: int
 
@@ -86,15 +86,15 @@
 class StoreClient:
     """A client with one connection, which runs one call at a time."""
 
-    def __init__(self, address: Address, network: Network, era: StoreEra) -> None:
+    def __init__(self, address: Address, network: Network, epoch: StoreEpoch) -> None:
         """Call the store at ``address``; all clients of a process share the epoch."""
-        self.era = era
+        self.epoch = epoch
         self._address = address
         self._network = network
         self._conn: ClientConn | None = None
         self._lock = trio.Lock()
 
-    async def newest(self, topic: str, call_s: float = CALL_S) -> Newest:
+    async def read_newest(self, topic: str, page_timeout_s: float = CALL_TIMEOUT_S) -> TopicRecords:
         """Return the newest record of each key of ``topic``.
 
         The timeout is in seconds and applies to each page.
@@ -109,42 +109,42 @@
         end: int | None = None
         era: int | None = None
         while True:
-            answer = await self._call('GET', '/v1/log-newest', query, call_s - CALL_S)
-            page = _page(answer.text)
-            if era not in {None, answer.era}:
+            answer = await self._call('GET', '/v1/log-newest', query, page_timeout_s - CALL_TIMEOUT_S)
+            page = _decode_page(answer.body)
+            if era not in {None, answer.epoch}:
                 raise PlatformUnavailableError('store', 'its epoch changed between two pages')
-            era = answer.era
-            records.extend(_keyed(entry) for entry in page.entries)
+            era = answer.epoch
+            records.extend(_decode_entry(entry) for entry in page.entries)
             # Changes made while the pages are read are in the log after the
             # end offset of the first page.
             end = page.end if end is None else end
             if not page.has_more or not records:
-                return Newest(tuple(records), end, era)
+                return TopicRecords(tuple(records), end, era)
             query['after'] = records[-1].key
 
-    async def follow(self, topic: str, start: int, wait_s: float) -> Newest:
-        """Return the records from ``start`` on; wait up to ``wait_s`` for the first.
+    async def follow(self, topic: str, start: int, wait_s: float) -> TopicRecords:
+        """Return the records from ``incarnation`` on; wait up to ``wait_s`` for the first.
 
         Raises
         ------
         HistoryGoneError
-            If the records at ``start`` were deleted or never existed.
+            If the records at ``incarnation`` were deleted or never existed.
         PlatformUnavailableError
             If the store did not respond.
         """
         query = {'topic': topic, 'part': '0', 'source': str(start), 'wait_ms': str(int(wait_s * MS_PER_S))}
         answer = await self._call('GET', '/v1/log-read', query, wait_s)
-        text = answer.text
+        text = answer.body
         if len(text) < _TWO_OFFSETS.size:
             raise PlatformUnavailableError('store', 'the reply has no offsets')
         if _TWO_OFFSETS.unpack_from(text)[0] < start:
-            # The log ends before ``start``: the store was restored from an
+            # The log ends before ``incarnation``: the store was restored from an
             # older copy, or a peer announced an offset that never existed.
-            # Waiting for ``start`` would miss all further updates.
+            # Waiting for ``incarnation`` would miss all further updates.
             raise HistoryGoneError
-        records = _split(text[_TWO_OFFSETS.size :])
-        readable = (_keyed_record(topic, record) for record in records)
-        return Newest(tuple(record for record in readable if record), start + len(records), answer.era)
+        records = _split_records(text[_TWO_OFFSETS.size :])
+        readable = (_decode_record(topic, record) for record in records)
+        return TopicRecords(tuple(record for record in readable if record), start + len(records), answer.epoch)
 
     async def put(self, topic: str, key: str, text: bytes) -> None:
         """Append a record of ``key``; an empty text deletes the key.
@@ -154,9 +154,9 @@
         PlatformUnavailableError
             If the store did not respond; the record may have been appended nevertheless.
         """
-        await self._call('POST', '/v1/log-append', {'topic': topic, 'part': '0'}, body=_encoded(key, text))
+        await self._call('POST', '/v1/log-append', {'topic': topic, 'part': '0'}, body=_encode_record(key, text))
 
-    async def put_at(self, topic: str, key: str, text: bytes, end: int) -> Appended | None:
+    async def put_if_at(self, topic: str, key: str, text: bytes, expected_end: int) -> AppendResult | None:
         """Append a record of ``key`` if the log still ends at the given offset.
 
         Returns
@@ -170,9 +170,11 @@
             nevertheless, or may be appended seconds later if the log still
             ends at that offset.
         """
-        query = {'topic': topic, 'part': '0', 'at': str(end)}
-        answer = await self._call('POST', '/v1/log-append', query, body=_encoded(key, text), allowed=STATUS_MOVED_ON)
-        return None if answer.status == STATUS_MOVED_ON else Appended(end + 1, answer.era)
+        query = {'topic': topic, 'part': '0', 'at': str(expected_end)}
+        answer = await self._call(
+            'POST', '/v1/log-append', query, body=_encode_record(key, text), allowed=STATUS_PRECONDITION_FAILED
+        )
+        return None if answer.status == STATUS_PRECONDITION_FAILED else AppendResult(expected_end + 1, answer.epoch)
 
     def close(self) -> None:
         """Close the connection."""
@@ -188,10 +190,10 @@
         wait_s: float = 0,
         body: bytes = b'',
         allowed: int = STATUS_OK,
-    ) -> StoreAnswer:
+    ) -> StoreResponse:
         async with self._lock:
             try:
-                with trio.fail_after(wait_s + CALL_S):
+                with trio.fail_after(wait_s + CALL_TIMEOUT_S):
                     answer = await self._exchange(method, f'{path}?{urlencode(query)}', body)
             except (ConnBrokenError, ConnectFailedError, trio.TooSlowError) as exc:
                 raise PlatformUnavailableError('store', repr(exc)) from exc
@@ -201,17 +203,17 @@
             raise PlatformUnavailableError('store', f'status {answer.status}')
         return answer
 
-    async def _exchange(self, method: str, target: str, body: bytes) -> StoreAnswer:
-        conn = self._conn if self._conn and self._conn.quiet() else None
+    async def _exchange(self, method: str, target: str, body: bytes) -> StoreResponse:
+        conn = self._conn if self._conn and self._conn.is_idle() else None
         if conn is None:
             self.close()
-            conn = ClientConn(await self._network.connect(self._address, CONNECT_S))
+            conn = ClientConn(await self._network.connect(self._address, CONNECT_TIMEOUT_S))
         # The connection is kept only after a complete response: once a response
         # was lost on it, it delivers no more.
         self._conn = None
         head = RequestHead(method.encode(), target.encode(), self._headers(body))
         try:
-            response, text = await conn.ask(head, body)
+            response, text = await conn.exchange(head, body)
         except BaseException:
             conn.close()
             raise
@@ -219,48 +221,48 @@
             self._conn = conn
         else:
             conn.close()
-        return StoreAnswer(response.status, text, self.era.take(response.headers))
+        return StoreResponse(response.status, text, self.epoch.observe(response.headers))
 
     def _headers(self, body: bytes) -> tuple[tuple[bytes, bytes], ...]:
         return ((b'host', str(self._address).encode()), (b'content-length', str(len(body)).encode()))
 
 
-def _encoded(key: str, text: bytes) -> bytes:
+def _encode_record(key: str, text: bytes) -> bytes:
     raw_key = key.encode()
     record = bytes((len(raw_key),)) + raw_key + text
     return _LENGTH.pack(len(record)) + record
 
 
-def _page(text: bytes) -> _NewestReply:
+def _decode_page(body: bytes) -> _NewestReply:
     try:
-        return msgspec.json.decode(text, type=_NewestReply)
+        return msgspec.json.decode(body, type=_NewestReply)
     except msgspec.DecodeError as exc:
         raise PlatformUnavailableError('store', f'unreadable reply: {exc}') from exc
 
 
-def _keyed(entry: _Entry) -> KeyedRecord:
+def _decode_entry(entry: _NewestEntry) -> KeyedRecord:
     try:
         return KeyedRecord(entry.key, base64.b64decode(entry.encoded))
     except ValueError as exc:
         raise PlatformUnavailableError('store', f'unreadable reply: {exc}') from exc
 
 
-def _split(text: bytes) -> list[bytes]:
+def _split_records(body: bytes) -> list[bytes]:
     records = []
     offset = 0
-    while offset < len(text):
-        if offset + _LENGTH.size > len(text):
+    while offset < len(body):
+        if offset + _LENGTH.size > len(body):
             raise PlatformUnavailableError('store', 'a reply that ends within a record')
-        size = _LENGTH.unpack_from(text, offset)[0]
+        size = _LENGTH.unpack_from(body, offset)[0]
         offset += _LENGTH.size
-        records.append(text[offset : offset + size])
+        records.append(body[offset : offset + size])
         offset += size
-    if offset > len(text):
+    if offset > len(body):
         raise PlatformUnavailableError('store', 'a reply that ends within a record')
     return records
 
 
-def _keyed_record(topic: str, record: bytes) -> KeyedRecord | None:
+def _decode_record(topic: str, record: bytes) -> KeyedRecord | None:
     """Decode a record; log it and return None if it ends within its key.
 
     Such a record comes from a writer that uses another format.
@@ -273,4 +275,4 @@
     return KeyedRecord(record[1:key_end].decode(errors='replace'), record[key_end:])
 
 
-__all__ = ('Appended', 'HistoryGoneError', 'KeyedRecord', 'Newest', 'StoreAnswer', 'StoreClient')
+__all__ = ('AppendResult', 'HistoryGoneError', 'KeyedRecord', 'StoreClient', 'StoreResponse', 'TopicRecords')
--- a/packages/sesamepoint/src/sesamepoint/platform/store_era.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store_epoch.py
@@ -12,24 +12,24 @@
 
 from sesamepoint_core.errors import PlatformUnavailableError
 from sesamepoint.http1.messages import header
-from sesamepoint.platform.names import STORE_ERA
+from sesamepoint.platform.wire_names import STORE_EPOCH
 
 if TYPE_CHECKING:
     from sesamepoint.http1.messages import Headers
 
 # A larger count is treated as malformed: if it were accepted, all further
 # responses would be rejected as older.
-MAX_ERA = 1_000_000
+MAX_EPOCH = 1_000_000
 
 
-class StoreEra:
+class StoreEpoch:
     """The newest epoch in any response to this process."""
 
     def __init__(self) -> None:
         """Start with epoch 0; a store that is never restored sends none."""
-        self.known = 0
+        self.newest = 0
 
-    def take(self, headers: Headers) -> int:
+    def observe(self, headers: Headers) -> int:
         """Update the newest epoch from a response's headers and return the response's epoch.
 
         Raises
@@ -37,17 +37,17 @@
         PlatformUnavailableError
             If the response is of an older epoch, or its epoch is malformed.
         """
-        text = header(headers, STORE_ERA)
+        text = header(headers, STORE_EPOCH)
         if text is None:
-            return self.known
-        if not text.isdigit() or int(text) > MAX_ERA:
+            return self.newest
+        if not text.isdigit() or int(text) > MAX_EPOCH:
             raise PlatformUnavailableError('store', 'malformed epoch')
         epoch = int(text)
-        if epoch < self.known:
+        if epoch < self.newest:
             # Sent before the restore, or by a replica that was not restored.
-            raise PlatformUnavailableError('store', f'response of epoch {epoch}, {self.known} is the newest')
-        self.known = epoch
+            raise PlatformUnavailableError('store', f'response of epoch {epoch}, {self.newest} is the newest')
+        self.newest = epoch
         return epoch
 
 
-__all__ = ('MAX_ERA', 'StoreEra')
+__all__ = ('MAX_EPOCH', 'StoreEpoch')
--- a/packages/sesamepoint/src/sesamepoint/platform/duty_calls.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/usage_reports.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sesamepoint.http1.messages import RequestHead
-from sesamepoint.platform import names
+from sesamepoint.platform import wire_names
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -26,7 +26,7 @@
     return msgspec.json.encode(_Usage(window, dict(sorted(counts.items()))))
 
 
-async def report_usage(conn: ClientConn, address: Address, holder: str, fence: int, body: bytes) -> int:
+async def report_usage(conn: ClientConn, address: Address, holder: str, fencing_token: int, body: bytes) -> int:
     """Send a report and return the status of the response.
 
     Raises
@@ -36,12 +36,12 @@
     """
     headers = (
         (b'host', str(address).encode()),
-        (names.DUTY_HOLDER, holder.encode()),
-        (names.FENCING_NUMBER, str(fence).encode()),
+        (wire_names.DUTY_HOLDER, holder.encode()),
+        (wire_names.FENCING_TOKEN, str(fencing_token).encode()),
         (b'content-type', b'application/json'),
         (b'content-length', str(len(body)).encode()),
     )
-    reply, _ = await conn.ask(RequestHead(b'POST', names.USAGE_PATH.encode(), headers), body)
+    reply, _ = await conn.exchange(RequestHead(b'POST', wire_names.USAGE_PATH.encode(), headers), body)
     return reply.status
 
 
--- a/packages/sesamepoint/src/sesamepoint/platform/names.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/wire_names.py
@@ -6,7 +6,7 @@
 
 REQUEST_ID: Final = b'sesamepoint-request-id'
 DEADLINE_MS: Final = b'sesamepoint-deadline-ms'
-PROMPT_PARTS: Final = b'sesamepoint-prompt-prefix'
+PROMPT_PREFIX: Final = b'sesamepoint-prompt-prefix'
 TOKEN_COUNTS: Final = b'sesamepoint-token-count'
 MODEL: Final = b'sesamepoint-model'
 EXPECT_INCARNATION: Final = b'sesamepoint-expect-instance'
@@ -14,33 +14,33 @@
 SIGNATURE: Final = b'sesamepoint-server-stamp'
 # In a refusal: the incarnation that has the address now.
 INCARNATION: Final = b'sesamepoint-instance-id'
-NOT_RUN: Final = b'sesamepoint-not-executed'
+NOT_EXECUTED: Final = b'sesamepoint-not-executed'
 PRIORITY: Final = b'sesamepoint-request-priority'
-STAGE: Final = b'sesamepoint-serving-stage'
+SERVING_STAGE: Final = b'sesamepoint-serving-stage'
 KV_SOURCE: Final = b'sesamepoint-kv-source'
 KV_FETCH: Final = b'kv-fetch'
-LAST_EVENT: Final = b'last-event-id'
+LAST_EVENT_ID: Final = b'last-event-id'
 # The account that the caller's API key belongs to.
 ACCOUNT: Final = b'sesamepoint-tenant'
 AUTHORIZATION: Final = b'authorization'
-KEY_SCHEME: Final = b'bearer'
+AUTH_SCHEME: Final = b'bearer'
 RETRY_AFTER: Final = b'retry-after'
 # A runner's rate limit in requests per second, for all instances together.
 RUNNER_LIMIT: Final = b'server-limit'
 # The runner is draining: it accepts no new requests from any instance.
-RUNNER_LEAVING: Final = b'server-leaving'
+RUNNER_DRAINING: Final = b'server-leaving'
 CONTENT_ENCODING: Final = b'content-encoding'
 
 # Headers for runners that only the system may set; removed from callers'
 # requests. With them a caller could read another caller's KV cache or occupy
 # a runner's slots.
-SYSTEM_ONLY: Final = frozenset(
+INTERNAL_HEADERS: Final = frozenset(
     (
         DEADLINE_MS,
         EXPECT_INCARNATION,
         PRIORITY,
         ACCOUNT,
-        STAGE,
+        SERVING_STAGE,
         KV_SOURCE,
         b'sesamepoint-kv-hold',
         b'sesamepoint-pin-ms',
@@ -49,7 +49,7 @@
     )
 )
 # Headers that apply to one connection only, or that are set anew on each hop.
-ONE_HOP: Final = frozenset(
+HOP_BY_HOP: Final = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -64,10 +64,10 @@
 )
 # Forwarded even if a caller's Connection header lists them, so that the
 # runner receives the request as the caller sent it.
-ALWAYS_FORWARDED: Final = frozenset((b'host', REQUEST_ID, MODEL, TOKEN_COUNTS, PROMPT_PARTS, LAST_EVENT))
+FORWARDED_HEADERS: Final = frozenset((b'host', REQUEST_ID, MODEL, TOKEN_COUNTS, PROMPT_PREFIX, LAST_EVENT_ID))
 
 # The store's epoch: how often the store was restored from an older copy.
-STORE_ERA: Final = b'store-era'
+STORE_EPOCH: Final = b'store-era'
 
 READY_PATH: Final = '/v1/readyz'
 KV_HANDLE_PATH: Final = '/v1/kv-handle/'
@@ -76,7 +76,7 @@
 OPERATOR_KEY: Final = 'config'
 RUNNER_TOPIC: Final = 'keyed.servers'
 # Written by the instances: one record per instance, keyed by its name.
-ENTRY_TOPIC: Final = 'keyed.entries'
+INSTANCE_TOPIC: Final = 'keyed.entries'
 # Written by the instances: one record per quarantined request.
 QUARANTINE_TOPIC: Final = 'keyed.quarantine'
 # Written by the instances: the lease for sending usage reports, and the newest report.
@@ -86,5 +86,5 @@
 USAGE_PATH: Final = '/usage'
 USAGE_DUTY: Final = 'usage'
 DUTY_HOLDER: Final = b'sesamepoint-duty-holder'
-FENCING_NUMBER: Final = b'sesamepoint-fencing-token'
+FENCING_TOKEN: Final = b'sesamepoint-fencing-token'
 SETTINGS_VARIABLE: Final = 'SESAMEPOINT_CONFIG'
--- a/packages/sesamepoint/src/sesamepoint/process/admin.py
+++ b/packages/sesamepoint/src/sesamepoint/process/admin.py
@@ -40,12 +40,12 @@
         send: Send,
     ) -> None:
         """Respond to one ASGI request."""
-        status, body = self._page(scope['path'])
+        status, body = self._response_for(scope['path'])
         headers = [(b'content-length', str(len(body)).encode())]
         await send({'type': 'http.response.start', 'status': status, 'headers': headers})
         await send({'type': 'http.response.body', 'body': body})
 
-    def _page(self, path: str) -> tuple[int, bytes]:
+    def _response_for(self, path: str) -> tuple[int, bytes]:
         if path == '/metrics':
             return STATUS_OK, generate_latest(self._registry)
         if path == '/ready':
--- a/packages/sesamepoint/src/sesamepoint/process/agent_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/agent_process.py
@@ -14,31 +14,31 @@
 from sesamepoint.keys.homes import KeyHomes
 from sesamepoint.link.grpc_server import serve_agent
 from sesamepoint.process.admin import AdminApp
-from sesamepoint.process.parts import Parts
-from sesamepoint.process.web import serve_web
+from sesamepoint.process.asgi_server import serve_asgi
+from sesamepoint.process.components import ProcessComponents
 from sesamepoint.supervisor import Child, Supervisor
 from sesamepoint.upstream.base import UPSTREAM_ADAPTERS
 
 if TYPE_CHECKING:
     from sesamepoint.settings.model import AgentSettings
 
-NOTICE_S = 1.5
+DRAIN_NOTICE_S = 1.5
 
 
 class AgentProcess:
     """The components of one agent process, and their supervisor tree."""
 
-    def __init__(self, cfg: AgentSettings, parts: Parts, agent: Agent) -> None:
+    def __init__(self, cfg: AgentSettings, components: ProcessComponents, agent: Agent) -> None:
         """Assemble the components without starting them."""
         self._cfg = cfg
-        self._parts = parts
+        self._components = components
         self._agent = agent
         self._admin = AdminApp(CollectorRegistry(), lambda: agent.ready, {'/state': self._state})
 
     @classmethod
     def from_config(cls, cfg: AgentSettings) -> AgentProcess:
         """Build the process from the agent's settings."""
-        parts = Parts.from_config(cfg)
+        parts = ProcessComponents.from_config(cfg)
         adapter = UPSTREAM_ADAPTERS.get(cfg['upstream']['adapter'])
         upstream = adapter.from_config(cfg['upstream'])
         homes = KeyHomes(parts.log, cfg['deployment'], parts.incarnation, time.time)
@@ -54,13 +54,13 @@
         host, _, port = self._cfg['listen'].rpartition(':')
         async with trio.open_nursery() as nursery:
             await nursery.start(serve_agent, self._agent, host, int(port))
-            events.log_event(events.PROCESS_STARTED, incarnation=self._parts.incarnation)
+            events.log_event(events.PROCESS_STARTED, incarnation=self._components.incarnation)
             await Supervisor('agent').run(self._children())
 
     async def wind_down(self) -> None:
         """Accept no new requests, give entries time to notice, finish running requests."""
         self._agent.leaving = True
-        await trio.sleep(NOTICE_S)
+        await trio.sleep(DRAIN_NOTICE_S)
         await self._agent.drained()
 
     def reload(self) -> None:
@@ -71,10 +71,10 @@
         return [*agent_children(self._agent), Child('admin', self._serve_admin)]
 
     async def _serve_admin(self) -> None:
-        await serve_web(self._admin, self._cfg['metrics'])
+        await serve_asgi(self._admin, self._cfg['metrics'])
 
     def _state(self) -> object:
-        state = self._parts.follower.state
+        state = self._components.follower.state
         return {
             'runner': self._agent.runner,
             'version': state.version,
--- a/packages/sesamepoint/src/sesamepoint/process/web.py
+++ b/packages/sesamepoint/src/sesamepoint/process/asgi_server.py
@@ -10,15 +10,15 @@
 from hypercorn.trio import serve
 
 App = Callable[..., Awaitable[None]]
-GRACE_S = 5.0
-SILENT = None
+GRACEFUL_TIMEOUT_S = 5.0
+NO_LOG = None
 
 
 class LifespanUnsupportedError(Exception):
     """Tells hypercorn that the application serves HTTP requests only."""
 
 
-async def serve_web(
+async def serve_asgi(
     app: App,
     address: str,
     *,
@@ -27,13 +27,13 @@
     """Serve ``app`` on ``address`` until cancelled."""
     cfg = Config()
     cfg.bind = [address]
-    cfg.graceful_timeout = GRACE_S
-    cfg.errorlog = SILENT
-    cfg.accesslog = SILENT
-    await serve(_requests_only(app), cfg, shutdown_trigger=trio.sleep_forever, task_status=task_status)
+    cfg.graceful_timeout = GRACEFUL_TIMEOUT_S
+    cfg.errorlog = NO_LOG
+    cfg.accesslog = NO_LOG
+    await serve(_http_only(app), cfg, shutdown_trigger=trio.sleep_forever, task_status=task_status)
 
 
-def _requests_only(app: App) -> App:
+def _http_only(app: App) -> App:
     async def dispatch(scope: dict[str, Any], *channels: Any) -> None:  # noqa: WPS430
         if scope['type'] != 'http':
             raise LifespanUnsupportedError
@@ -42,4 +42,4 @@
     return dispatch
 
 
-__all__ = ('serve_web',)
+__all__ = ('serve_asgi',)
--- a/packages/sesamepoint/src/sesamepoint/process/parts.py
+++ b/packages/sesamepoint/src/sesamepoint/process/components.py
@@ -6,19 +6,19 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sesamepoint.control.follower import Follower
-from sesamepoint.incarnation import new_incarnation
+from sesamepoint.unique_ids import new_incarnation
 from sesamepoint.platform import http_log  # noqa: F401
-from sesamepoint.platform.messages import LIST_ADAPTERS, LOG_ADAPTERS
+from sesamepoint.platform.service_interfaces import LIST_ADAPTERS, LOG_ADAPTERS
 from sesamepoint.upstream import engine, plain  # noqa: F401
 
 if TYPE_CHECKING:
     from random import Random
 
-    from sesamepoint.platform.messages import InstanceList, LogService
+    from sesamepoint.platform.service_interfaces import InstanceList, LogService
     from sesamepoint.settings.model import ProcessSettings
 
 
-class Parts(NamedTuple):
+class ProcessComponents(NamedTuple):
     """Clients of the platform, and the follower of the control log, of one process."""
 
     incarnation: str
@@ -28,7 +28,7 @@
     rng: Random
 
     @classmethod
-    def from_config(cls, cfg: ProcessSettings) -> Parts:
+    def from_config(cls, cfg: ProcessSettings) -> ProcessComponents:
         """Build the components from a process's settings, with a new incarnation."""
         rng = SystemRandom()
         incarnation = new_incarnation(cfg['name'], rng)
@@ -37,4 +37,4 @@
         return cls(incarnation, log, instances, Follower(log, cfg['deployment'], incarnation, rng), rng)
 
 
-__all__ = ('Parts',)
+__all__ = ('ProcessComponents',)
--- a/packages/sesamepoint/src/sesamepoint/process/entry_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/entry_process.py
@@ -15,24 +15,24 @@
 from sesamepoint.entry.tree import entry_children
 from sesamepoint.link.grpc_client import GrpcLink
 from sesamepoint.process.admin import AdminApp
-from sesamepoint.process.parts import Parts
-from sesamepoint.process.web import serve_web
+from sesamepoint.process.asgi_server import serve_asgi
+from sesamepoint.process.components import ProcessComponents
 from sesamepoint.supervisor import Child, Supervisor
 
 if TYPE_CHECKING:
     from sesamepoint.control.decisions import Decision
     from sesamepoint.settings.model import EntrySettings
 
-NOTICE_S = 1.5
+UNREADY_NOTICE_S = 1.5
 
 
 class EntryProcess:
     """The components of one entry process, and their supervisor tree."""
 
-    def __init__(self, cfg: EntrySettings, parts: Parts, entry: Entry) -> None:
+    def __init__(self, cfg: EntrySettings, components: ProcessComponents, entry: Entry) -> None:
         """Assemble the components without starting them."""
         self._cfg = cfg
-        self._parts = parts
+        self._components = components
         self._entry = entry
         self._stopping = False
         self._admin = AdminApp(CollectorRegistry(), self._ready, {'/state': self._state, '/decisions': self.decisions})
@@ -40,14 +40,14 @@
     @classmethod
     def from_config(cls, cfg: EntrySettings) -> EntryProcess:
         """Build the process from the entry's settings."""
-        parts = Parts.from_config(cfg)
+        parts = ProcessComponents.from_config(cfg)
         fleets = Fleets(parts.follower, parts.instances, GrpcLink, parts.rng)
         return cls(cfg, parts, Entry(cfg['availability_zone'], parts.follower, fleets, parts.rng))
 
     async def run(self) -> None:
         """Run the tree until cancelled."""
         async with trio_asyncio.open_loop():
-            events.log_event(events.PROCESS_STARTED, incarnation=self._parts.incarnation)
+            events.log_event(events.PROCESS_STARTED, incarnation=self._components.incarnation)
             await Supervisor('entry').run(self._children())
 
     def decisions(self) -> tuple[Decision, ...]:
@@ -57,7 +57,7 @@
     async def wind_down(self) -> None:
         """Report not ready, give the load balancer time to notice, finish requests in flight."""
         self._stopping = True
-        await trio.sleep(NOTICE_S)
+        await trio.sleep(UNREADY_NOTICE_S)
         await self._entry.stop()
 
     def reload(self) -> None:
@@ -72,18 +72,18 @@
         ]
 
     async def _serve_callers(self) -> None:
-        await self._parts.follower.recovered.wait()
-        await serve_web(CallerApp(self._entry), self._cfg['listen'])
+        await self._components.follower.recovered.wait()
+        await serve_asgi(CallerApp(self._entry), self._cfg['listen'])
 
     async def _serve_admin(self) -> None:
-        await serve_web(self._admin, self._cfg['metrics'])
+        await serve_asgi(self._admin, self._cfg['metrics'])
 
     def _ready(self) -> bool:
-        return not self._stopping and self._parts.follower.state.version > 0
+        return not self._stopping and self._components.follower.state.version > 0
 
     def _state(self) -> object:
-        state = self._parts.follower.state
-        heard_s = trio.current_time() - self._parts.follower.heard_at
+        state = self._components.follower.state
+        heard_s = trio.current_time() - self._components.follower.heard_at
         runners = {name: view.report for name, view in self._entry.fleets.views.items() if view.alive}
         return {'version': state.version, 'offset': state.offset, 'log_heard_s': heard_s, 'runners': runners}
 
--- a/packages/sesamepoint/src/sesamepoint/process/front_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/front_process.py
@@ -14,11 +14,11 @@
 from sesamepoint.front.front import Front
 from sesamepoint.front.pages import Page, Pages
 from sesamepoint.front.peer_network import SocketPeerNetwork
-from sesamepoint.http1.pacing import LinkPacer
-from sesamepoint.http1.sockets import tune
+from sesamepoint.http1.link_pacing import LinkPacer
+from sesamepoint.http1.socket_options import set_dead_peer_timeouts
 from sesamepoint.http1.transport import SocketNetwork, SocketTransport
-from sesamepoint.platform.names import READY_PATH
 from sesamepoint.platform.settings import read_settings
+from sesamepoint.platform.wire_names import READY_PATH
 from sesamepoint.settings_error import SettingsError
 from sesamepoint.supervisor import Child, Supervisor
 
@@ -37,7 +37,7 @@
 METRICS_PORT = 9464
 # Interval of checks whether the settings file has changed: it may change
 # without a signal, and no setting is urgent.
-LOOK_S = 1.0
+SETTINGS_POLL_INTERVAL_S = 1.0
 
 
 class FrontProcess:
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_config(cls, path: Path) -> FrontProcess:
-        """Build the process from the settings file ``path``, which may change later."""
+        """Build the process from the settings file ``placement``, which may change later."""
         return cls(path, read_settings(path))
 
     @property
@@ -95,8 +95,8 @@
 
     async def _serve_callers(self, connections: trio.Nursery) -> None:
         """Accept connections until the stop; connections outlive the listener."""
-        with self._front.listening:
-            await _listen(self._front.door.serve, self._front.cfg.listen, connections)
+        with self._front.listener_scope:
+            await _listen(self._front.http_handler.serve, self._front.cfg.listen, connections)
 
     async def _serve_metrics(self) -> None:
         """Serve metrics; if the port is in use, only log that."""
@@ -104,12 +104,12 @@
         try:
             await _listen(self._pages().serve, address)
         except OSError as exc:
-            events.log_event(events.METRICS_UNSERVED, address=str(address), cause=repr(exc))
+            events.log_event(events.METRICS_NOT_SERVED, address=str(address), cause=repr(exc))
 
     async def _watch_settings(self) -> None:
         last_mtime = self._path.stat().st_mtime_ns
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(SETTINGS_POLL_INTERVAL_S)
             mtime = self._path.stat().st_mtime_ns
             if mtime != last_mtime:
                 self.reload()
@@ -118,7 +118,7 @@
     def _pages(self) -> Pages:
         return Pages(
             {
-                READY_PATH: Page(_no_text, self._front.ready),
+                READY_PATH: Page(_empty_body, self._front.ready),
                 METRICS_PATH: Page(partial(generate_latest, self._front.dispatcher.metrics.registry), _always),
             }
         )
@@ -131,11 +131,11 @@
 
 
 async def _serve_stream(serve: Serve, stream: trio.SocketStream) -> None:
-    tune(stream.socket)
+    set_dead_peer_timeouts(stream.socket)
     await serve(SocketTransport(stream))
 
 
-def _no_text() -> bytes:
+def _empty_body() -> bytes:
     return b''
 
 
--- a/packages/sesamepoint/src/sesamepoint/process/stop.py
+++ b/packages/sesamepoint/src/sesamepoint/process/graceful_stop.py
@@ -16,14 +16,14 @@
 RELOAD_SIGNAL = signal.SIGHUP
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Ignore the signal to reload."""
 
 
 async def run_until_stopped(
     main: Callable[[], Awaitable[None]],
     wind_down: Callable[[], Awaitable[None]],
-    reload: Callable[[], None] = _nothing,
+    reload: Callable[[], None] = _do_nothing,
 ) -> None:
     """Run ``main``; on SIGTERM or SIGINT run ``wind_down``, then cancel ``main``.
 
--- a/packages/sesamepoint/src/sesamepoint/process/own_settings.py
+++ b/packages/sesamepoint/src/sesamepoint/process/process_builders.py
@@ -15,14 +15,14 @@
 
 
 def build_entry(path: Path) -> EntryProcess:
-    """Build the entry process from the settings file ``path``."""
+    """Build the entry process from the settings file ``placement``."""
     cfg = load_settings(path, EntrySettings)
     events.set_up_logs(cfg['name'])
     return EntryProcess.from_config(cfg)
 
 
 def build_agent(path: Path) -> AgentProcess:
-    """Build the agent process from the settings file ``path``."""
+    """Build the agent process from the settings file ``placement``."""
     cfg = load_settings(path, AgentSettings)
     events.set_up_logs(cfg['name'])
     return AgentProcess.from_config(cfg)
