--- a/packages/sesamepoint/src/sesamepoint/settings/load.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/load.py
@@ -8,7 +8,7 @@
 import json5
 from pydantic import TypeAdapter, ValidationError
 
-from sesamepoint_core.problems import describe
+from sesamepoint_core.validation_errors import describe_errors
 from sesamepoint.settings_error import SettingsError
 
 SettingsT = TypeVar('SettingsT')
@@ -31,19 +31,19 @@
         raise SettingsError(f'{path}: document: {first}', 'correct the JSON') from exc
 
 
-def load_settings(path: Path, kind: type[SettingsT]) -> SettingsT:
-    """Read and validate the settings file ``path``.
+def load_settings(path: Path, settings_type: type[SettingsT]) -> SettingsT:
+    """Read and validate the settings file ``placement``.
 
     Raises
     ------
     SettingsError
         With the first invalid field and its path in the document.
     """
-    return checked(path, read_document(path), kind)
+    return validate_settings(path, read_document(path), settings_type)
 
 
-def checked(path: Path, document: Any, kind: type[SettingsT]) -> SettingsT:
-    """Validate ``document`` against a type; ``path`` is its source, for errors.
+def validate_settings(path: Path, document: Any, settings_type: type[SettingsT]) -> SettingsT:
+    """Validate ``document`` against a type; ``placement`` is its source, for errors.
 
     Raises
     ------
@@ -51,10 +51,10 @@
         With the first invalid field and its path in the document.
     """
     try:
-        return TypeAdapter(kind).validate_python(document, strict=True)
+        return TypeAdapter(settings_type).validate_python(document, strict=True)
     except ValidationError as exc:
-        problem, _, remedy = next(describe(exc)).rpartition('; ')
+        problem, _, remedy = next(describe_errors(exc)).rpartition('; ')
         raise SettingsError(f'{path}: {problem}', remedy) from exc
 
 
-__all__ = ('SettingsError', 'checked', 'load_settings', 'read_document')
+__all__ = ('SettingsError', 'load_settings', 'read_document', 'validate_settings')
--- a/packages/sesamepoint/src/sesamepoint/upstream/engine.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/engine.py
@@ -31,7 +31,7 @@
     """Streams completions, cancels them, orders roles."""
 
     def __init__(self, http: UpstreamHttp) -> None:
-        """Use ``http`` for all calls."""
+        """Use ``http_client`` for all calls."""
         self._http = http
 
     @classmethod
--- a/packages/sesamepoint/src/sesamepoint/upstream/plain.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/plain.py
@@ -30,7 +30,7 @@
     """Passes calls on by path."""
 
     def __init__(self, http: UpstreamHttp) -> None:
-        """Use ``http`` for all calls."""
+        """Use ``http_client`` for all calls."""
         self._http = http
         self._running = 0
 
--- a/tests/core/runner_limit/test_sharing.py
+++ b/tests/core/runner_limit/test_shared_limit.py
@@ -16,32 +16,32 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from sesamepoint_core.runner_limit import sharing
-from sesamepoint_core.runner_limit.giver import Giver
-from sesamepoint_core.runner_limit.lender import Lender
-from sesamepoint_core.runner_limit.pacer import Pacer
-from sesamepoint_standins.platform.limit_bound import KNOWN_S
-from sesamepoint_standins.platform.limit_world import LimitWorld
+from sesamepoint_core.runner_limit import shared_limit
+from sesamepoint_core.runner_limit.limit_owner import LimitOwner
+from sesamepoint_core.runner_limit.share_lender import ShareLender
+from sesamepoint_core.runner_limit.token_bucket import TokenBucket
+from sesamepoint_standins.platform.limit_bound import LIMIT_KNOWN_S
+from sesamepoint_standins.platform.limit_simulation import LimitSimulation
 from tests.core.runner_limit.faults import LimitFaults
 
 if TYPE_CHECKING:
-    from sesamepoint_core.runner_limit.words import Ask
+    from sesamepoint_core.runner_limit.messages import PermitRequest
 
 LIMIT = 6.8
-USED = 0.9
+MIN_USE = 0.9
 # Permits that may be kept from before a measured time span, and used in it.
-SPARE = 7
+MAX_KEPT_PERMITS = 7
 # Seeds that exceeded the bound during development.
 BROKEN_SEEDS = (4, 8, 14, 35, 56, 80, 85, 130, 186, 190, 199, 243, 396)
 SEEDS = (*range(1, 4), *BROKEN_SEEDS)
 
 
-def calm_world(instances: int, load: float, limit: float = LIMIT, seed: int = 1) -> LimitWorld:
+def settled_simulation(instances: int, load: float, limit: float = LIMIT, seed: int = 1) -> LimitSimulation:
     """Return a simulation after its first 5 s, with an even load."""
-    simulation = LimitWorld(seed)
+    simulation = LimitSimulation(seed)
     for number in range(instances):
         simulation.add(f'front-{number}', load / instances)
-    simulation.name_limit(limit)
+    simulation.change_limit(limit)
     simulation.run(5)
     return simulation
 
@@ -53,36 +53,36 @@
         """Guards against a broken bound under kills, freezes, partitions, lost and late messages and new limits."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.assertLessEqual(LimitFaults(seed).play(), 0)
+                self.assertLessEqual(LimitFaults(seed).run(), 0)
 
     def test_each_cut_off_from_all(self) -> None:
         """Guards against instances that each use the whole limit while they can't reach each other."""
-        self.assertLessEqual(_each_alone(), 0)
+        self.assertLessEqual(_excess_without_peers(), 0)
 
     def test_wakes_with_old_asks(self) -> None:
         """Guards against an owner that wakes and counts expired leases, while the shares are in use elsewhere."""
-        self.assertLessEqual(_woken(), 0)
+        self.assertLessEqual(_excess_after_wake(), 0)
 
     def test_all_have_a_request_at_once(self) -> None:
         """Guards against hundreds of instances that use kept permits at the same moment."""
-        self.assertLessEqual(_all_at_once(), 0)
+        self.assertLessEqual(_excess_of_simultaneous_requests(), 0)
 
     def test_all_start_again(self) -> None:
         """Guards against a burst from instances that have all just started without any state."""
-        simulation = calm_world(20, 400)
+        simulation = settled_simulation(20, 400)
         for name in simulation.instances:
             simulation.kill(name, 0.5)
         simulation.run(6)
-        self.assertLessEqual(simulation.excess(KNOWN_S), 0)
+        self.assertLessEqual(simulation.max_excess(LIMIT_KNOWN_S), 0)
 
     def test_lowered(self) -> None:
         """Guards against permits that are used after the limit they were granted for was lowered."""
-        self.assertLessEqual(_lowered(), 0)
+        self.assertLessEqual(_excess_after_lowering(), 0)
 
     def test_zero(self) -> None:
         """Guards against requests to a runner with a limit of 0."""
-        simulation = calm_world(5, 60)
-        simulation.name_limit(0)
+        simulation = settled_simulation(5, 60)
+        simulation.change_limit(0)
         simulation.run(1)
         since = simulation.now
         simulation.run(8)
@@ -96,95 +96,95 @@
         """Guards against an unused limit while all instances have requests."""
         for instances in (1, 5, 31):
             with self.subTest(instances=instances):
-                self._check(calm_world(instances, 60))
+                self._check(settled_simulation(instances, 60))
 
     def test_hundreds_of_instances(self) -> None:
         """Guards against shares so small that no instance has a permit when it has a request."""
-        self._check(calm_world(350, 100))
+        self._check(settled_simulation(350, 100))
 
     def test_one_has_all_demand(self) -> None:
         """Guards against shares that stay with instances that have no requests."""
         for instances in (5, 100):
-            simulation = calm_world(instances, 0)
+            simulation = settled_simulation(instances, 0)
             simulation.instances['front-3'].rate = 60
             with self.subTest(instances=instances):
                 self._check(simulation)
 
     def test_demand_moves(self) -> None:
         """Guards against shares that follow too late when the demand moves to another instance."""
-        simulation = calm_world(5, 0)
+        simulation = settled_simulation(5, 0)
         since = simulation.now
         for step in range(10):
             for number in range(5):
                 simulation.instances[f'front-{number}'].rate = 60 if number == step % 5 else 0
             simulation.run(2)
-        self.assertGreaterEqual(simulation.taken(since), USED)
+        self.assertGreaterEqual(simulation.used_share(since), MIN_USE)
 
-    def test_who_hands_out_is_killed(self) -> None:
+    def test_owner_is_killed(self) -> None:
         """Guards against a limit that stays unused after its owner is killed: use recovers within two leases."""
-        simulation = calm_world(5, 60)
+        simulation = settled_simulation(5, 60)
         for name in tuple(simulation.instances):
             simulation.kill(name, 60)
             since = simulation.now
             simulation.run(3)
-            self.assertLessEqual(simulation.excess(KNOWN_S), 0)
-            self.assertGreater(simulation.taken(since), 0)
-            simulation.instances[name].start_again()
+            self.assertLessEqual(simulation.max_excess(LIMIT_KNOWN_S), 0)
+            self.assertGreater(simulation.used_share(since), 0)
+            simulation.instances[name].restart()
             simulation.run(6)
         self._check(simulation)
 
-    def _check(self, world: LimitWorld) -> None:
-        world.run(2)
-        since = world.now
-        world.run(8)
-        self.assertGreaterEqual(world.taken(since), USED)
-        self.assertLessEqual(world.taken(since), 1 + SPARE / (LIMIT * 8))
-        self.assertLessEqual(world.excess(KNOWN_S), 0)
+    def _check(self, simulation: LimitSimulation) -> None:
+        simulation.run(2)
+        since = simulation.now
+        simulation.run(8)
+        self.assertGreaterEqual(simulation.used_share(since), MIN_USE)
+        self.assertLessEqual(simulation.used_share(since), 1 + MAX_KEPT_PERMITS / (LIMIT * 8))
+        self.assertLessEqual(simulation.max_excess(LIMIT_KNOWN_S), 0)
 
 
-class TwinTest(TestCase):
+class FaultyVariantTest(TestCase):
     """Faulty variants, each without one safeguard, which must break the bound."""
 
-    def test_twin_that_hands_out_what_is_not_lent(self) -> None:
+    def test_without_leases(self) -> None:
         """Without leases each disconnected instance uses the whole limit."""
 
-        def all_lent(giver: Giver, members: frozenset[str], now: float) -> int:
+        def all_lent(giver: LimitOwner, members: frozenset[str], now: float) -> int:
             return len(members) - 1
 
-        with patch.object(Giver, 'lent', all_lent):
-            self.assertGreater(_each_alone(), 0)
+        with patch.object(LimitOwner, 'leased_shares', all_lent):
+            self.assertGreater(_excess_without_peers(), 0)
 
-    def test_twin_that_dates_leases_by_arrival(self) -> None:
+    def test_leases_from_arrival(self) -> None:
         """Without stamps an owner that wakes counts leases from requests that arrived while it was frozen."""
-        heard = Giver.heard
+        heard = LimitOwner.on_request
 
-        def from_arrival(giver: Giver, name: str, ask: Ask, instances: int, now: float) -> None:
-            lends = giver.stamp(now) if ask.lends else None
-            heard(giver, name, ask._replace(lends=lends), instances, now)
+        def from_arrival(giver: LimitOwner, name: str, ask: PermitRequest, instances: int, now: float) -> None:
+            lends = giver.stamp(now) if ask.leased_from else None
+            heard(giver, name, ask._replace(leased_from=lends), instances, now)
 
-        with patch.object(Giver, 'heard', from_arrival):
-            self.assertGreater(_woken(), 0)
+        with patch.object(LimitOwner, 'on_request', from_arrival):
+            self.assertGreater(_excess_after_wake(), 0)
 
-    def test_twin_that_keeps_permits(self) -> None:
+    def test_without_permit_expiry(self) -> None:
         """Without a bound on their age all instances use their kept permits at the same moment."""
-        pace = Pacer.pace
+        pace = TokenBucket.update_rate
 
-        def for_ever(pacer: Pacer, rate: float, keep_s: float, now: float) -> None:
+        def for_ever(pacer: TokenBucket, rate: float, keep_s: float, now: float) -> None:
             pace(pacer, rate, math.inf, now)
 
-        with patch.object(Pacer, 'pace', for_ever):
-            self.assertGreater(_all_at_once(), 0)
+        with patch.object(TokenBucket, 'update_rate', for_ever):
+            self.assertGreater(_excess_of_simultaneous_requests(), 0)
 
-    def test_twin_that_uses_what_it_lends(self) -> None:
+    def test_uses_leased_share(self) -> None:
         """A lender that ignores its lease uses the share while the owner does too."""
-        with patch.object(Lender, 'lent', lambda lender, now: False):
-            self.assertGreater(_shares_in_use(), 1)
-        self.assertLessEqual(_shares_in_use(), 1)
+        with patch.object(ShareLender, 'is_leased', lambda lender, now: False):
+            self.assertGreater(_max_shares_in_use(), 1)
+        self.assertLessEqual(_max_shares_in_use(), 1)
 
-    def test_twin_that_uses_old_permits(self) -> None:
+    def test_without_dropping_on_lowered_limit(self) -> None:
         """Unless a lowered limit is announced and permits are dropped, permits of the higher limit are still used."""
-        with patch.object(sharing, 'LOWERED', 0):
-            self.assertGreater(_lowered(), 0)
+        with patch.object(shared_limit, 'LOWERED_RATIO', 0):
+            self.assertGreater(_excess_after_lowering(), 0)
 
 
 class LimitMachine(RuleBasedStateMachine):
@@ -193,7 +193,7 @@
     @initialize(size=st.integers(1, 6), seed=st.integers(0, 1000))
     def begin(self, size: int, seed: int) -> None:
         """Start with a limit that all instances know."""
-        self.world = calm_world(size, 60, seed=seed)
+        self.world = settled_simulation(size, 60, seed=seed)
 
     @rule(which=st.integers(0, 9), back_s=st.floats(0.2, 5))
     def kill(self, which: int, back_s: float) -> None:
@@ -208,23 +208,23 @@
     @rule(first=st.integers(0, 9), second=st.integers(0, 9))
     def cut(self, first: int, second: int) -> None:
         """Disconnect one or two instances from the others."""
-        self.world.cut({self._name(first), self._name(second)})
+        self.world.partition({self._name(first), self._name(second)})
 
     @rule()
     def heal(self) -> None:
         """Reconnect all instances."""
-        self.world.network.cut = set()
+        self.world.network.cut_pairs = set()
 
     @rule(lost=st.sampled_from((0, 0.3)), late=st.sampled_from((0, 0.2)))
     def harm(self, lost: float, late: float) -> None:
         """Lose and delay messages."""
-        self.world.network.lost = lost
-        self.world.network.late = late
+        self.world.network.loss_share = lost
+        self.world.network.delayed_share = late
 
     @rule(rate=st.sampled_from((0, 0.5, 6.8, 40)))
     def limit(self, rate: float) -> None:
         """Report another limit."""
-        self.world.name_limit(rate)
+        self.world.change_limit(rate)
 
     @rule(which=st.integers(0, 9), load=st.sampled_from((0, 10, 100)))
     def shift(self, which: int, load: float) -> None:
@@ -243,10 +243,10 @@
         self.world.run(for_s)
 
     @invariant()
-    def kept(self) -> None:
+    def bound_holds(self) -> None:
         """Check that the bound holds."""
         if hasattr(self, 'world'):
-            assert self.world.excess(KNOWN_S) <= 0
+            assert self.world.max_excess(LIMIT_KNOWN_S) <= 0
 
     def _name(self, which: int) -> str:
         return list(self.world.instances)[which % len(self.world.instances)]
@@ -261,71 +261,71 @@
         run_state_machine_as_test(LimitMachine, settings=kept)
 
 
-def _each_alone() -> float:
+def _excess_without_peers() -> float:
     """Return the excess over the bound when no instance can reach any other."""
-    simulation = calm_world(5, 150)
+    simulation = settled_simulation(5, 150)
     names = list(simulation.instances)
-    simulation.network.cut = {frozenset((one, other)) for one in names for other in names if one != other}
+    simulation.network.cut_pairs = {frozenset((one, other)) for one in names for other in names if one != other}
     simulation.run(12)
-    return simulation.excess(KNOWN_S)
+    return simulation.max_excess(LIMIT_KNOWN_S)
 
 
-def _woken() -> float:
+def _excess_after_wake() -> float:
     """Return the total of the shares in use, less one, when an owner wakes while the others use their shares again."""
-    simulation = calm_world(5, 150)
+    simulation = settled_simulation(5, 150)
     worst: float = 0
     for name in simulation.instances:
         simulation.freeze(name, 4)
         simulation.run(3.9)
         for _ in range(40):
             simulation.run(0.02)
-            worst = max(worst, _in_use(simulation))
+            worst = max(worst, _shares_in_use_now(simulation))
         simulation.run(5)
     return worst - 1
 
 
-def _all_at_once() -> float:
+def _excess_of_simultaneous_requests() -> float:
     """Return the excess over the bound when 200 disconnected instances all get a request after a long idle time."""
-    simulation = calm_world(200, 400, limit=20)
+    simulation = settled_simulation(200, 400, limit=20)
     for instance in simulation.instances.values():
         instance.rate = 0
     names = list(simulation.instances)
-    simulation.network.cut = {frozenset((one, other)) for one in names for other in names if one != other}
+    simulation.network.cut_pairs = {frozenset((one, other)) for one in names for other in names if one != other}
     simulation.run(40)
     for instance in simulation.instances.values():
-        instance.request()
+        instance.on_request()
     simulation.run(2)
-    return simulation.excess(KNOWN_S)
+    return simulation.max_excess(LIMIT_KNOWN_S)
 
 
-def _lowered() -> float:
+def _excess_after_lowering() -> float:
     """Return the excess over the bound when a limit falls while most instances have a permit and few requests."""
-    simulation = calm_world(100, 90, limit=100)
-    simulation.name_limit(0.5)
+    simulation = settled_simulation(100, 90, limit=100)
+    simulation.change_limit(0.5)
     simulation.run(10)
-    return simulation.excess(KNOWN_S)
+    return simulation.max_excess(LIMIT_KNOWN_S)
 
 
-def _shares_in_use() -> float:
+def _max_shares_in_use() -> float:
     """Return the largest total of the shares in use at a time, without faults."""
-    simulation = calm_world(5, 150)
+    simulation = settled_simulation(5, 150)
     worst: float = 0
     for _ in range(100):
         simulation.run(0.05)
-        worst = max(worst, _in_use(simulation))
+        worst = max(worst, _shares_in_use_now(simulation))
     return worst
 
 
-def _in_use(world: LimitWorld) -> float:
+def _shares_in_use_now(simulation: LimitSimulation) -> float:
     """Return the total of the shares that all running instances use now."""
     strategies = [
-        (instance.way, instance.now())
-        for instance in world.instances.values()
-        if instance.up and instance.frozen_until <= world.now
+        (instance.strategy, instance.now())
+        for instance in simulation.instances.values()
+        if instance.up and instance.frozen_until <= simulation.now
     ]
     shares = [
         strategy._shares(now) / len(strategy._members)
         for strategy, now in strategies
-        if isinstance(strategy, sharing.Sharing)
+        if isinstance(strategy, shared_limit.SharedLimit)
     ]
     return round(sum(shares), 6)
--- a/tests/core/serving/test_paths.py
+++ b/tests/core/serving/test_placement.py
@@ -4,29 +4,29 @@
 
 from unittest import TestCase
 
-from sesamepoint_core.serving.paths import Path, best_path
+from sesamepoint_core.serving.placement import Placement, best_placement
 from tests.core.serving.builders import FAST, SLOW, decode, prefill
 
 
-def best(*views: object, speeds: object = FAST, tokens: int = 17_000) -> Path:
+def best(*views: object, speeds: object = FAST, tokens: int = 17_000) -> Placement:
     """Return the best placement; there must be one."""
-    path = best_path(views, speeds, tokens)  # type: ignore[arg-type]
+    path = best_placement(views, speeds, tokens)  # type: ignore[arg-type]
     assert path is not None
     return path
 
 
-class BestPathTest(TestCase):
+class BestPlacementTest(TestCase):
     """The placement of least cost."""
 
     def test_no_engine_decodes(self) -> None:
-        self.assertIsNone(best_path([prefill('p', 100)], FAST, 100))
+        self.assertIsNone(best_placement([prefill('p', 100)], FAST, 100))
 
-    def test_long_prompt_unknown(self) -> None:
+    def test_long_prompt_not_cached(self) -> None:
         """No engine has any block cached: the prefill runs where it takes half the time."""
         path = best(prefill('p', 17_000), decode('d', 17_000))
         self.assertEqual((path.prefill, path.decode), ('p', 'd'))
 
-    def test_long_prompt_held(self) -> None:
+    def test_long_prompt_cached(self) -> None:
         """A decode engine has the shared block cached: 500 tokens there beat 17,000 elsewhere."""
         path = best(prefill('p', 17_000), decode('d1', 17_000), decode('d2', 500))
         self.assertEqual((path.prefill, path.decode), ('', 'd2'))
@@ -46,17 +46,17 @@
         self.assertEqual(best(busy, decode('d', 9_000, streams=12), speeds=SLOW).prefill, 'p')
         self.assertEqual(best(busy, decode('d', 9_000, streams=0), speeds=SLOW).prefill, '')
 
-    def test_second_step_avoids_reading(self) -> None:
+    def test_decode_avoids_prefill(self) -> None:
         """A request with a remote prefill is decoded where no prefill is running."""
         path = best(prefill('p', 17_000), decode('d1', 17_000, wait_s=0.3), decode('d2', 17_000, order=1))
         self.assertEqual(path.decode, 'd2')
 
-    def test_second_steps_gather(self) -> None:
+    def test_decode_steps_gather(self) -> None:
         """Among idle engines the first in order takes these requests; the others keep their blocks."""
         path = best(prefill('p', 17_000), decode('d1', 17_000, order=1), decode('d2', 17_000, order=0))
         self.assertEqual(path.decode, 'd2')
 
-    def test_second_step_stays_in_zone(self) -> None:
+    def test_decode_stays_in_zone(self) -> None:
         """A transfer to another zone takes twice as long; it pays only if the engines of this zone are busy."""
         prefill_engine = prefill('p', 60_000, zone='a')
         far = decode('d1', 60_000, zone='b')
@@ -75,7 +75,7 @@
         path = best(decode('d1', 300, crowded=True), decode('d2', 9_000), tokens=9_000)
         self.assertEqual(path.decode, 'd2')
 
-    def test_fetch_beats_reading(self) -> None:
+    def test_fetch_beats_prefill(self) -> None:
         """Fetching 13,000 tokens is quicker than a prefill of them."""
         path = best(prefill('p1', 17_000), prefill('p2', 4_000, fetch_tokens=13_000), decode('d', 17_000))
         self.assertEqual(path.prefill, 'p2')
--- a/tests/core/test_accounts.py
+++ b/tests/core/test_account_limits.py
@@ -4,7 +4,7 @@
 
 from unittest import TestCase
 
-from sesamepoint_core.admit.accounts import BURST_S, AccountLimits
+from sesamepoint_core.admit.account_limits import BURST_S, AccountLimits
 
 RATE = 4.0
 
@@ -28,7 +28,7 @@
         self.assertLessEqual(total, RATE * (60 + BURST_S) + 4)
         self.assertGreater(total, RATE * 55)
 
-    def test_time_to_come_back(self) -> None:
+    def test_retry_time(self) -> None:
         limits = AccountLimits()
         waits = [limits.wait_s(0, 'a1', RATE, 1) for _ in range(100)]
         self.assertEqual(limits.wait_s(waits[-1], 'a1', RATE, 1), 0)
--- a/tests/core/test_apply.py
+++ b/tests/core/test_apply.py
@@ -86,7 +86,7 @@
         assert isinstance(step.verdict, Rejected)
         self.assertEqual(fold.state.leases[FLEET].holder, 'a')
 
-    def test_order_of_deposed_holder(self) -> None:
+    def test_order_of_former_holder(self) -> None:
         # A holder is paused, another process claims its lease, then the first one
         # resumes and appends a prepared order. No engine may receive that order.
         fold = FoldBuilder()
--- a/tests/core/test_subset.py
+++ b/tests/core/test_subset.py
@@ -8,7 +8,7 @@
 from sesamepoint_core.route.subset import SUBSET, subset
 
 LARGE = tuple(f'runner-{number}' for number in range(60))
-ENTRIES = tuple(f'entry-{number}' for number in range(350))
+INSTANCES = tuple(f'entry-{number}' for number in range(350))
 
 
 class SubsetTest(TestCase):
@@ -20,9 +20,9 @@
     def test_subset_every_runner_is_known(self) -> None:
         # A runner in no subset would be idle; one in many more subsets than the
         # others would be overloaded.
-        users = Counter(runner for entry in ENTRIES for runner in subset(entry, LARGE))
+        users = Counter(runner for entry in INSTANCES for runner in subset(entry, LARGE))
         self.assertEqual(set(users), set(LARGE))
-        self.assertLess(max(users.values()), 3 * len(ENTRIES) * SUBSET / len(LARGE))
+        self.assertLess(max(users.values()), 3 * len(INSTANCES) * SUBSET / len(LARGE))
 
     def test_subset_runner_withdrawn(self) -> None:
         before = subset('entry-1', LARGE)
--- a/tests/core/test_window_budget.py
+++ b/tests/core/test_window_budget.py
@@ -58,13 +58,13 @@
             self.budget.earn()
         self.assertTrue(self.budget.spend())
 
-    def test_charged_beyond(self) -> None:
+    def test_charged_beyond_budget(self) -> None:
         """Extra sends that weren't asked for count too, and leave less for others."""
         for _ in range(5):
             self.budget.charge()
         self.assertFalse(self.budget.spend())
 
-    def test_reserve_shared_by_more(self) -> None:
+    def test_reserve_resized(self) -> None:
         self.budget.resize(1)
         self.assertEqual([self.budget.spend(), self.budget.spend()], [True, False])
 
--- a/tests/ctl/test_burn.py
+++ b/tests/ctl/test_burn.py
@@ -24,7 +24,7 @@
     found.append(ended('failed', second=17, on_time=False, status=502))
     found.append(ended('broken', second=18, on_time=False, unfinished=True))
     found.append(ended('left', second=19, on_time=False, unfinished=True, status=0))
-    return [*found, line(events.CALLER_LEFT, request='left'), 'no log line']
+    return [*found, line(events.CALLER_DISCONNECTED, request='left'), 'no log line']
 
 
 class BurnTest(TestCase):
--- a/tests/ctl/test_request_walk.py
+++ b/tests/ctl/test_request_walk.py
@@ -25,8 +25,8 @@
     def test_refused_for_limits(self) -> None:
         """The runners that were passed over are named, with what they had named."""
         logs = [
-            line(events.LIMIT_NAMED, runner=RUNNER, rate=6.8, source='front-2', age_s=0.1),
-            line(events.LIMIT_REFUSED, request='r1', runners=[RUNNER], rate=1.4, retry_after_s=0.6),
+            line(events.LIMIT_REPORTED, runner=RUNNER, rate=6.8, source='front-2', age_s=0.1),
+            line(events.REQUEST_REFUSED_LIMIT, request='r1', runners=[RUNNER], rate=1.4, retry_after_s=0.6),
             ended('r1', status=503, runners=[], passed_over=[RUNNER], cause='runners_name_limits'),
         ]
         found = explain_request('r1', logs)
@@ -36,8 +36,8 @@
     def test_refused_for_rest(self) -> None:
         """The runners that were passed over are named, with the rest that they had asked for."""
         logs = [
-            line(events.REST_ASKED, runner=RUNNER, for_s=3, known_s=0),
-            line(events.REST_REFUSED, request='r1', runners=[RUNNER], opens_ms=2400, retry_after_s=0.6),
+            line(events.BACK_OFF_REQUESTED, runner=RUNNER, for_s=3, known_s=0),
+            line(events.REQUEST_REFUSED_BACK_OFF, request='r1', runners=[RUNNER], opens_ms=2400, retry_after_s=0.6),
             ended('r1', status=503, runners=[], passed_over=[RUNNER], cause='runners_rest'),
         ]
         found = explain_request('r1', logs)
@@ -67,7 +67,7 @@
         self.assertIn('verdict: broken off: its runner broke off', found)
 
     def test_caller_left(self) -> None:
-        logs = [line(events.CALLER_LEFT, request='r1'), ended('r1', unfinished=True, first_total_ms=None)]
+        logs = [line(events.CALLER_DISCONNECTED, request='r1'), ended('r1', unfinished=True, first_total_ms=None)]
         self.assertIn('verdict: the caller left before the first', explain_request('r1', logs))
 
     def test_unknown(self) -> None:
--- a/tests/front/builders.py
+++ b/tests/front/builders.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from sesamepoint_core.serving.address import Address
+from sesamepoint_core.serving.poison_requests import SuspectRequests
 from sesamepoint_core.serving.runner import Runner, Stage
-from sesamepoint_core.serving.suspects import Suspects
-from sesamepoint.front.gate import Gate
 from sesamepoint.front.request import FrontRequest
 from sesamepoint.front.runner_limits import RunnerLimits
+from sesamepoint.front.send_check import SendCheck
 from sesamepoint.http1.messages import RequestHead
-from sesamepoint_standins.platform.caller import Asked
+from sesamepoint_standins.platform.caller import RequestSpec
 from sesamepoint_standins.platform.runner import EngineSpeed, RunnerStandIn
 
 HOST = 'boats.example'
@@ -78,7 +78,7 @@
     return {'name': name, 'api_keys': list(keys), **changes}
 
 
-def bearer(key: str) -> tuple[bytes, bytes]:
+def bearer_header(key: str) -> tuple[bytes, bytes]:
     """Return the authorization header that carries ``key``."""
     return (b'authorization', f'Bearer {key}'.encode())
 
@@ -88,14 +88,14 @@
     return msgspec.json.encode(configuration())
 
 
-def no_limits() -> RunnerLimits:
+def empty_runner_limits() -> RunnerLimits:
     """Return the rate limits known to an instance before any runner has reported one."""
     return RunnerLimits('front-1', Random(1))
 
 
-def open_gate() -> Gate:
+def permissive_send_check() -> SendCheck:
     """Return the send check of an instance that knows no runner status and no suspect request."""
-    return Gate.from_limits(no_limits(), Suspects())
+    return SendCheck.from_limits(empty_runner_limits(), SuspectRequests())
 
 
 def plain_runner(number: int, service: str = 'web', **changes: Any) -> RunnerStandIn:
@@ -108,15 +108,15 @@
     return RunnerStandIn(f'i-llm{number}', 'llm', Address(f'10.4.0.{number}', 80), 'z1', stage=stage, **changes)
 
 
-def registered_engine(number: int = 1, *, born_ms: int = 0, leaving: bool = False) -> Runner:
+def registered_engine(number: int = 1, *, born_ms: int = 0, draining: bool = False) -> Runner:
     """Return the decoded registration of a decode engine."""
     address = Address(f'10.4.0.{number}', 80)
-    return Runner(f'i-{number}', 'llm', address, 'z1', 24, leaving=leaving, stage=Stage.decode, born_ms=born_ms)
+    return Runner(f'i-{number}', 'llm', address, 'z1', 24, draining=draining, stage=Stage.decode, born_ms=born_ms)
 
 
 def registration(**changes: Any) -> dict[str, Any]:
     """Return a decode engine's registration in the form of the platform's store."""
-    base = {**engine(1, 'decode').record, 'born': 1_700_000_000_000}
+    base = {**engine(1, 'decode').registration, 'born': 1_700_000_000_000}
     return {**base, **changes}
 
 
@@ -131,17 +131,19 @@
     ]
 
 
-def asked(path: str, **changes: Any) -> Asked:
+def new_request(path: str, **changes: Any) -> RequestSpec:
     """Return a request with a unique id, with ``changes`` to the defaults."""
     base: dict[str, Any] = {'request_id': f'r{next(_ids)}', 'host': HOST, 'path': path, 'deadline_s': 3.0}
-    return Asked(**{**base, **changes})
+    return RequestSpec(**{**base, **changes})
 
 
-def asked_prompt(path: str, tokens: int = 300, shared: tuple[str, int] = ('s1', 90), **changes: Any) -> Asked:
+def new_prompt_request(
+    path: str, tokens: int = 300, shared_prefix: tuple[str, int] = ('s1', 90), **changes: Any
+) -> RequestSpec:
     """Return a request whose prompt has a shared prefix block and a block of ``tokens`` tokens of its own."""
     number = next(_ids)
-    blocks = (shared, (f'own{number}', tokens))
-    return asked(path, request_id=f'p{number}', parts=blocks, output=changes.pop('output', 5), **changes)
+    blocks = (shared_prefix, (f'own{number}', tokens))
+    return new_request(path, request_id=f'p{number}', parts=blocks, output=changes.pop('output', 5), **changes)
 
 
 def tag_request() -> FrontRequest:
@@ -150,21 +152,21 @@
     return FrontRequest('r1', 'x', '/tag/a', head, b'', 0, None, None)
 
 
-SLOW_ENGINE = EngineSpeed(tokens_s=36_700.0, step_s=0.0043, stride=8, kv_tokens=402_357, slots=48)
+SLOW_ENGINE = EngineSpeed(prefill_tokens_per_s=36_700.0, step_s=0.0043, steps_per_event=8, kv_tokens=402_357, slots=48)
 
 __all__ = (
     'HOST',
     'SLOW_ENGINE',
     'account',
-    'asked',
-    'asked_prompt',
-    'bearer',
+    'bearer_header',
     'configuration',
+    'empty_runner_limits',
     'encoded_configuration',
     'engine',
     'fleet',
-    'no_limits',
-    'open_gate',
+    'new_prompt_request',
+    'new_request',
+    'permissive_send_check',
     'plain_runner',
     'registered_engine',
     'registration',
--- /dev/null
+++ b/tests/front/send_check_bench.py
@@ -0,0 +1,143 @@
+"""Test bench of the send check: one engine, all kinds of sends to it, and all conditions that block them."""
+
+from __future__ import annotations
+
+from functools import partial
+from random import Random
+from types import MappingProxyType
+from typing import TYPE_CHECKING, NamedTuple
+
+import trio
+
+from sesamepoint_core.runner_status.status_headers import BackOff, RateLimit
+from sesamepoint_core.serving.address import Address
+from sesamepoint_core.serving.routes import RepeatPolicy, Route, ServiceShare
+from sesamepoint_core.serving.runner import Runner, Stage
+from sesamepoint.front.attempt import Attempt, Target
+from sesamepoint.front.cache_inventory import CacheInventory
+from sesamepoint.front.engine_subset import EngineSubset
+from sesamepoint.front.fleet import Fleet
+from sesamepoint.front.job import Job
+from sesamepoint.front.prefill import HandleReclaimer, Prefilled, prefill
+from sesamepoint.front.reply import Reply
+from sesamepoint.front.send_check import SendKind, SendPurpose
+from sesamepoint.platform.headers import AttemptHeaders
+from tests.front.builders import permissive_send_check, tag_request
+from tests.front.silent_network import SlowNetwork
+
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Mapping
+
+    from sesamepoint.front.fleet_member import Member
+    from sesamepoint.front.send_check import SendCheck
+
+    SendCall = Callable[['SendCheckBench'], Awaitable[None]]
+    BlockTrigger = Callable[['SendCheckBench'], None]
+
+SILENCE_TIMEOUT_S = 0.3
+
+
+class ConnectedCallerConn:
+    """Connection of a caller that never disconnects."""
+
+    def check_caller(self) -> None:
+        """Report no disconnect."""
+
+
+class SendCheckBench(NamedTuple):
+    """One engine, the instance's state for it, and a request in progress."""
+
+    network: SlowNetwork
+    send_check: SendCheck
+    fleet: Fleet
+    job: Job
+
+    @property
+    def member(self) -> Member:
+        """Return the engine."""
+        return self.fleet.members['i-1']
+
+
+def new_bench() -> SendCheckBench:
+    """Return a bench whose engine has reported no status."""
+    network = SlowNetwork()
+    send_check = permissive_send_check()
+    fleet = Fleet(2.0, network, trio.current_time, send_check)
+    fleet.replace_all([Runner('i-1', 'llm', Address('10.0.0.1', 80), 'z1', 24, draining=False, stage=Stage.decode)])
+    share = ServiceShare('llm', 1)
+    route = Route('tag', 'x', '/', RepeatPolicy.resume, True, 5.0, 0.25, 0.15, 2, 0, (share,))
+    return SendCheckBench(network, send_check, fleet, Job(tag_request(), route, 'llm', _reply()))
+
+
+async def send_run(kind: SendKind, bench: SendCheckBench) -> None:
+    """Send a request, or only its decode step, as ``kind`` says."""
+    target = Target(bench.member, AttemptHeaders('i-1', 5, 0), SILENCE_TIMEOUT_S, purpose=SendPurpose(kind, bench.job))
+    await Attempt(tag_request(), target, _reply(), streamed=True).run()
+
+
+async def send_remote_prefill(bench: SendCheckBench) -> None:
+    """Send a remote prefill."""
+    purpose = SendPurpose(SendKind.remote_prefill, bench.job)
+    target = Target(bench.member, AttemptHeaders('i-1', 5, 0, prefill_only=True), SILENCE_TIMEOUT_S, purpose=purpose)
+    await prefill(tag_request(), target, _reply())
+
+
+async def request_inventory(bench: SendCheckBench) -> None:
+    """Ask the engine for its cache inventory."""
+    inventory = CacheInventory(bench.fleet, EngineSubset('front-1', bench.fleet), Random(1))
+    with trio.move_on_after(SILENCE_TIMEOUT_S):
+        await inventory.run()
+
+
+async def free_memory(bench: SendCheckBench) -> None:
+    """Ask the engine to free the memory of a prefilled prompt."""
+    reclaimer = HandleReclaimer()
+    reclaimer.reclaim(Prefilled(bench.member, 'h1'))
+    with trio.move_on_after(SILENCE_TIMEOUT_S):
+        await reclaimer.run()
+
+
+SEND_CALLS: Mapping[SendKind, SendCall] = MappingProxyType(
+    {
+        SendKind.run: partial(send_run, SendKind.run),
+        SendKind.remote_decode: partial(send_run, SendKind.remote_decode),
+        SendKind.remote_prefill: send_remote_prefill,
+        SendKind.inventory: request_inventory,
+        SendKind.free_memory: free_memory,
+    }
+)
+
+
+def _report_zero_limit(bench: SendCheckBench) -> None:
+    bench.send_check.runner_statuses.take(RateLimit(0), bench.member.incarnation, 0)
+
+
+def _quarantine_request(bench: SendCheckBench) -> None:
+    bench.send_check.suspects.quarantine(bench.job.content_id, 0)
+
+
+def _back_off(bench: SendCheckBench) -> None:
+    bench.send_check.runner_statuses.take(BackOff(3), bench.member.incarnation, 0)
+
+
+def _start_draining(bench: SendCheckBench) -> None:
+    bench.send_check.runner_statuses.note_draining(bench.member.incarnation, 'front-2', 0)
+
+
+BLOCK_TRIGGERS: Mapping[str, BlockTrigger] = MappingProxyType(
+    {
+        'gone': lambda found: found.member.close(),
+        'replaced': lambda found: found.member.note_replaced('front-2'),
+        'leaving': _start_draining,
+        'resting': _back_off,
+        'limit': _report_zero_limit,
+        'suspect': _quarantine_request,
+    }
+)
+
+
+def _reply() -> Reply:
+    return Reply(ConnectedCallerConn())  # type: ignore[arg-type]
+
+
+__all__ = ('BLOCK_TRIGGERS', 'SEND_CALLS', 'BlockTrigger', 'SendCall', 'SendCheckBench', 'new_bench')
--- a/tests/front/silent_network.py
+++ b/tests/front/silent_network.py
@@ -10,7 +10,7 @@
     from sesamepoint_core.serving.address import Address
 
 # Time to connect, in seconds: a send is checked this long after its runner was chosen.
-CONNECT_S = 0.05
+CONNECT_DELAY_S = 0.05
 
 
 class SilentTransport:
@@ -33,11 +33,11 @@
     def close(self) -> None:
         """Do nothing."""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return True: the connection may be used."""
         return True
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Return False: the connection is open."""
         return False
 
@@ -50,8 +50,8 @@
 
     async def connect(self, address: Address, timeout_s: float) -> SilentTransport:
         """Return the transport after the connect delay."""
-        await trio.sleep(CONNECT_S)
+        await trio.sleep(CONNECT_DELAY_S)
         return self.transport
 
 
-__all__ = ('CONNECT_S', 'SilentTransport', 'SlowNetwork')
+__all__ = ('CONNECT_DELAY_S', 'SilentTransport', 'SlowNetwork')
--- a/tests/front/test_account_flood.py
+++ b/tests/front/test_account_flood.py
@@ -14,20 +14,20 @@
 
 import trio
 
-from sesamepoint_standins.platform.bed import PlatformBed, running_bed
-from tests.front.builders import account, bearer, configuration, engine
-from tests.front.burst import BURST_S, FRONTS, LONG_A_SECOND, long_prompt
+from sesamepoint_standins.platform.bench import PlatformBench, open_bench
+from tests.front.builders import account, bearer_header, configuration, engine
+from tests.front.burst import BURST_S, FRONTS, LONG_PER_S, long_prompt
 from tests.virtual import virtual
 
 SMALL = tuple(f'small{number}' for number in range(8))
-SMALL_A_SECOND = 1.5
+SMALL_PER_S = 1.5
 LARGE = 'large'
-TRIES = 4
-SERVED = 200
+ATTEMPTS = 4
+STATUS_OK = 200
 SEEDS = (1, 2, 3)
 
 
-class Asked(NamedTuple):
+class AccountRequest(NamedTuple):
     """A request of an account, and whether one of its attempts was served."""
 
     account: str
@@ -37,40 +37,40 @@
 class Flood:
     """Load of one large account and of the small ones."""
 
-    def __init__(self, bed: PlatformBed, seed: int) -> None:
-        """Send the load to ``bed``, drawn from a generator with ``seed``."""
-        self.asked: list[Asked] = []
-        self._bed = bed
+    def __init__(self, bench: PlatformBench, seed: int) -> None:
+        """Send the load to ``bench``, drawn from a generator with ``seed``."""
+        self.requests: list[AccountRequest] = []
+        self._bench = bench
         self._rng = Random(seed)
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Send requests for the duration of the burst, and wait for all answers."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send, LARGE, LONG_A_SECOND, TRIES)
+            nursery.start_soon(self._send_at_rate, LARGE, LONG_PER_S, ATTEMPTS)
             for name in SMALL:
-                nursery.start_soon(self._send, name, SMALL_A_SECOND, 1)
+                nursery.start_soon(self._send_at_rate, name, SMALL_PER_S, 1)
 
-    def share(self, names: tuple[str, ...]) -> float:
-        """Return the share of the requests of the accounts ``names`` that was served."""
-        served = [one.served for one in self.asked if one.account in names]
+    def served_share(self, names: tuple[str, ...]) -> float:
+        """Return the share of the requests of the accounts ``wire_names`` that was served."""
+        served = [one.served for one in self.requests if one.account in names]
         return sum(served) / len(served)
 
-    async def _send(self, name: str, rate: float, tries: int) -> None:
+    async def _send_at_rate(self, name: str, rate: float, attempts: int) -> None:
         async with trio.open_nursery() as nursery:
             ends_at = trio.current_time() + BURST_S
             while trio.current_time() < ends_at:
                 await trio.sleep(self._rng.expovariate(rate))
-                nursery.start_soon(self._ask, name, tries)
+                nursery.start_soon(self._ask_with_retries, name, attempts)
 
-    async def _ask(self, name: str, tries: int) -> None:
+    async def _ask_with_retries(self, name: str, attempts: int) -> None:
         served = False
-        for _ in range(tries):
-            req = long_prompt(self._rng, extra=(bearer(_key(name)),))
-            answer = await self._bed.caller(f'front-{self._rng.randint(1, FRONTS)}').ask(req)
-            served = answer.status == SERVED and answer.whole
+        for _ in range(attempts):
+            req = long_prompt(self._rng, extra=(bearer_header(_key(name)),))
+            answer = await self._bench.new_caller(f'front-{self._rng.randint(1, FRONTS)}').send(req)
+            served = answer.status == STATUS_OK and answer.complete
             if served:
                 break
-        self.asked.append(Asked(name, served))
+        self.requests.append(AccountRequest(name, served))
 
 
 def _key(name: str) -> str:
@@ -90,9 +90,9 @@
         for seed in SEEDS:
             cfg = configuration(1, tenants=[account(name, _key(name)) for name in (*SMALL, LARGE)])
             runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
-            async with running_bed(cfg, runners, fronts=FRONTS) as bench:
+            async with open_bench(cfg, runners, fronts=FRONTS) as bench:
                 flood = Flood(bench, seed)
-                await flood.play()
-                self.assertGreater(flood.share(SMALL), flood.share((*SMALL, LARGE)) / 4)
-                served |= {one.account for one in flood.asked if one.served}
+                await flood.run()
+                self.assertGreater(flood.served_share(SMALL), flood.served_share((*SMALL, LARGE)) / 4)
+                served |= {one.account for one in flood.requests if one.served}
         self.assertEqual(served, {*SMALL, LARGE})
--- a/tests/front/test_attempt.py
+++ b/tests/front/test_attempt.py
@@ -10,12 +10,12 @@
 from sesamepoint_core.serving.address import Address
 from sesamepoint_core.serving.runner import Runner, Stage
 from sesamepoint.front.attempt import Attempt, Target
-from sesamepoint.front.member import Member
+from sesamepoint.front.fleet_member import Member
 from sesamepoint.front.reply import Reply
 from sesamepoint.front.request import FrontRequest
 from sesamepoint.http1.messages import RequestHead
-from sesamepoint.platform.headers import Sending
-from tests.front.builders import open_gate
+from sesamepoint.platform.headers import AttemptHeaders
+from tests.front.builders import permissive_send_check
 from tests.virtual import virtual
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
 
     from sesamepoint.http1.messages import Headers
 
-PATIENCE_S = 1.0
+SILENCE_TIMEOUT_S = 1.0
 ANSWER = (
     b'HTTP/1.1 200 OK\r\nsesamepoint-request-id: r1\r\nsesamepoint-server-stamp: s\r\n'
     b'transfer-encoding: chunked\r\n\r\n9\r\nid: 1\n\n\n\n\r\n'
@@ -41,9 +41,9 @@
 
     async def answer(self, clock: MockClock) -> None:
         """Make the answer available, and advance the clock past the silence timeout before any task runs."""
-        await trio.sleep(PATIENCE_S / 2)
+        await trio.sleep(SILENCE_TIMEOUT_S / 2)
         self._came.set()
-        clock.jump(PATIENCE_S)
+        clock.jump(SILENCE_TIMEOUT_S)
 
     async def send_all(self, sent: bytes) -> None:
         await trio.lowlevel.checkpoint()
@@ -57,10 +57,10 @@
     def close(self) -> None:
         """Do nothing."""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return False
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         return False
 
 
@@ -88,7 +88,7 @@
         await trio.lowlevel.checkpoint()
         self.heads += 1
 
-    async def part(self, body: bytes) -> None:
+    async def send_part(self, body: bytes) -> None:
         await trio.lowlevel.checkpoint()
 
 
@@ -96,7 +96,7 @@
     """Ends of an attempt."""
 
     @virtual
-    async def test_first_event_at_end_of_patience(self) -> None:
+    async def test_first_event_at_silence_timeout(self) -> None:
         """Guard against an attempt that is cancelled by the silence timeout while it sends the head to the caller.
 
         After a suspension of the process the first event and the timeout come at the same moment.
@@ -105,19 +105,19 @@
         """
         clock: MockClock = trio.lowlevel.current_clock()  # type: ignore[assignment]
         transport = LateTransport()
-        member = Member(_runner(), LateNetwork(transport), open_gate())
+        member = Member(_runner(), LateNetwork(transport), permissive_send_check())
         conn = RecordingConn()
         reply = Reply(conn)  # type: ignore[arg-type]
-        target = Target(member, Sending('i-1', 5, 0), PATIENCE_S)
+        target = Target(member, AttemptHeaders('i-1', 5, 0), SILENCE_TIMEOUT_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(transport.answer, clock)
-            with trio.move_on_after(PATIENCE_S * 3):
+            with trio.move_on_after(SILENCE_TIMEOUT_S * 3):
                 await Attempt(_request(), target, reply, streamed=True).run()
-        self.assertEqual(reply.begun, conn.heads == 1)
+        self.assertEqual(reply.started, conn.heads == 1)
 
 
 def _runner() -> Runner:
-    return Runner('i-1', 'llm', Address('10.0.0.1', 80), 'z1', 24, leaving=False, stage=Stage.decode)
+    return Runner('i-1', 'llm', Address('10.0.0.1', 80), 'z1', 24, draining=False, stage=Stage.decode)
 
 
 def _request() -> FrontRequest:
--- a/tests/front/test_load.py
+++ b/tests/front/test_burst.py
@@ -12,31 +12,31 @@
 
 import trio
 
-from sesamepoint.front.usual_deadlines import UsualDeadlines
-from sesamepoint.front.waiting import WaitingRoom
-from sesamepoint_standins.platform.bed import running_bed
+from sesamepoint.front.engine_queue import EngineQueue
+from sesamepoint.front.retry_detection import RetryDetector
+from sesamepoint_standins.platform.bench import open_bench
 from tests.front.builders import configuration, engine
 from tests.front.burst import (
     FRONTS,
     LONG_TARGET_S,
     SHORT_TARGET_S,
-    Answered,
-    play,
-    play_burst,
-    served,
+    AnsweredRequest,
+    send_burst,
+    run_burst,
+    served_share,
 )
 from tests.virtual import virtual
 
-AT_ONCE_S = 0.05
-AFTER_S = 0.5
+IMMEDIATE_S = 0.05
+SETTLE_S = 0.5
 SEEDS = (1, 2, 3)
 
 
-def _never_hold(*_: object) -> bool:
+def _never_queue(*_: object) -> bool:
     return False
 
 
-def _never_returned(*_: object) -> bool:
+def _never_retry(*_: object) -> bool:
     return False
 
 
@@ -59,9 +59,9 @@
         refused = 0
         unanswered = 0
         for seed in SEEDS:
-            answered = sum(await play_burst(seed), [])
-            refusals = [(one.asked, seen) for one in answered for seen in one.refusals]
-            at_once = [seen for _, seen in refusals if seen.took_s < AT_ONCE_S]
+            answered = sum(await run_burst(seed), [])
+            refusals = [(one.request, seen) for one in answered for seen in one.refusals]
+            at_once = [seen for _, seen in refusals if seen.took_s < IMMEDIATE_S]
             self.assertGreater(len(at_once), 0.7 * len(refusals))
             immediate += len(at_once)
             refused += len(refusals)
@@ -69,14 +69,14 @@
                 self.assertLess(seen.took_s, LONG_TARGET_S)
                 self.assertIsNotNone(seen.retry_after_s)
                 self.assertLessEqual(seen.retry_after_s or 0, request.deadline_s)
-            unanswered += sum(not one.seen.whole for one in answered)
-            long = [one for one in answered if one.asked.path.startswith('/verdict')]
-            self.assertGreater(served(long, math.inf), 0.37)
+            unanswered += sum(not one.answer.complete for one in answered)
+            long = [one for one in answered if one.request.path.startswith('/verdict')]
+            self.assertGreater(served_share(long, math.inf), 0.37)
         self.assertGreater(immediate, 0.75 * refused)
         self.assertLessEqual(unanswered, 1)
 
     @virtual
-    async def test_burst_against_sending_at_once(self) -> None:
+    async def test_burst_queued_against_sent_at_once(self) -> None:
         """Queued at the instance, requests reach engines in the order of what can be on time.
 
         Sent at once, they queue at the engines in order of arrival: half as
@@ -85,17 +85,17 @@
         """
         short_shares = []
         for seed in SEEDS:
-            long, short = await play_burst(seed)
-            with patch.object(WaitingRoom, 'holds', _never_hold):
-                long_at_once, short_at_once = await play_burst(seed)
-            self.assertGreater(served(short, SHORT_TARGET_S), 0.95)
-            self.assertGreater(served(long, LONG_TARGET_S), 1.5 * served(long_at_once, LONG_TARGET_S))
-            self.assertGreater(served(long, LONG_TARGET_S), 0.11)
-            short_shares.append(served(short_at_once, SHORT_TARGET_S))
+            long, short = await run_burst(seed)
+            with patch.object(EngineQueue, 'must_queue', _never_queue):
+                long_at_once, short_at_once = await run_burst(seed)
+            self.assertGreater(served_share(short, SHORT_TARGET_S), 0.95)
+            self.assertGreater(served_share(long, LONG_TARGET_S), 1.5 * served_share(long_at_once, LONG_TARGET_S))
+            self.assertGreater(served_share(long, LONG_TARGET_S), 0.11)
+            short_shares.append(served_share(short_at_once, SHORT_TARGET_S))
         self.assertLess(sum(short_shares) / len(short_shares), 0.8)
 
     @virtual
-    async def test_burst_returned_callers(self) -> None:
+    async def test_burst_caller_retries(self) -> None:
         """Guards against refusing the one retry that each refused caller makes while the burst lasts.
 
         A retry is recognized by the time that it has left, and queued as long
@@ -105,26 +105,26 @@
         the shares by up to 12% either way over three bursts, and by up to 9%
         over six.
         """
-        detected: list[Answered] = []
-        undetected: list[Answered] = []
+        detected: list[AnsweredRequest] = []
+        undetected: list[AnsweredRequest] = []
         for seed in (*SEEDS, *SEEDS):
-            detected += (await play_burst(seed))[0]
-            with patch.object(UsualDeadlines, 'returned', _never_returned):
-                undetected += (await play_burst(seed))[0]
-        self.assertGreater(served(detected, math.inf), 1.15 * served(undetected, math.inf))
-        self.assertGreater(served(detected, math.inf), 0.5)
-        self.assertGreater(served(detected, LONG_TARGET_S), 0.9 * served(undetected, LONG_TARGET_S))
-        self.assertGreater(served(detected, LONG_TARGET_S), 0.13)
+            detected += (await run_burst(seed))[0]
+            with patch.object(RetryDetector, 'is_retry', _never_retry):
+                undetected += (await run_burst(seed))[0]
+        self.assertGreater(served_share(detected, math.inf), 1.15 * served_share(undetected, math.inf))
+        self.assertGreater(served_share(detected, math.inf), 0.5)
+        self.assertGreater(served_share(detected, LONG_TARGET_S), 0.9 * served_share(undetected, LONG_TARGET_S))
+        self.assertGreater(served_share(detected, LONG_TARGET_S), 0.13)
 
     @virtual
-    async def test_burst_leaves_nothing_behind(self) -> None:
+    async def test_burst_leaves_no_backlog(self) -> None:
         """Guards against requests that still count as queued after the last one has left.
 
         They were counted forever, so late prompts were refused under low load.
         """
         runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 7)]
-        async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
-            await play(bench, Random(1))
-            await trio.sleep(AFTER_S)
+        async with open_bench(configuration(), runners, fronts=FRONTS) as bench:
+            await send_burst(bench, Random(1))
+            await trio.sleep(SETTLE_S)
             queued = [work for front in bench.fronts.values() for work in front.backlog.own]
         self.assertEqual(queued, [])
--- a/tests/front/test_inventory.py
+++ b/tests/front/test_cache_inventory.py
@@ -8,26 +8,30 @@
 import trio
 
 from sesamepoint_core.serving.prompt import Part
-from sesamepoint.front.inventory import Inventory
-from sesamepoint_standins.platform.bed import running_bed
-from tests.front.builders import asked_prompt, configuration, engine
+from sesamepoint.front.cache_inventory import CacheInventory
+from sesamepoint_standins.platform.bench import open_bench
+from tests.front.builders import configuration, engine, new_prompt_request
 from tests.virtual import virtual
 
-SHARED = ('terms', 13_000)
+SHARED_BLOCK = ('terms', 13_000)
 # Time until a started front has loaded the inventories of its engines.
-SETTLE_S = 0.5
+INVENTORY_S = 0.5
 
 
 async def first_prompt_s() -> float:
     """Start a front with engines that have been running, and time the first event of a prompt that one has cached."""
     runners = [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 5)]
-    runners[1].cache.touch([Part(*SHARED)])
-    async with running_bed(configuration(), runners) as bench:
-        await trio.sleep(SETTLE_S)
-        return (await bench.caller('front-1').ask(asked_prompt('/verdict/a', tokens=300, shared=SHARED))).first_s
+    runners[1].cache.touch([Part(*SHARED_BLOCK)])
+    async with open_bench(configuration(), runners) as bench:
+        await trio.sleep(INVENTORY_S)
+        return (
+            await bench.new_caller('front-1').send(
+                new_prompt_request('/verdict/a', tokens=300, shared_prefix=SHARED_BLOCK)
+            )
+        ).first_byte_s
 
 
-async def _ask_nobody(_: Inventory) -> None:
+async def _query_no_engine(_: CacheInventory) -> None:
     await trio.sleep_forever()
 
 
@@ -35,25 +39,27 @@
     """Instances that restart while engines keep their caches."""
 
     @virtual
-    async def test_restart_finds_shared_part(self) -> None:
+    async def test_restart_finds_shared_block(self) -> None:
         """Guards against a full prefill of the first long prompt after all instances lost power.
 
         Without the inventory, the instance takes the shared prefix block for
         not cached, and has 13,300 tokens prefilled at another engine in 0.16 s.
         """
         with_inventory_s = await first_prompt_s()
-        with patch.object(Inventory, 'run', _ask_nobody):
+        with patch.object(CacheInventory, 'run', _query_no_engine):
             without_inventory_s = await first_prompt_s()
         self.assertLess(with_inventory_s, 0.09)
         self.assertGreater(without_inventory_s, 0.15)
 
     @virtual
-    async def test_engine_does_not_tell(self) -> None:
+    async def test_engine_refuses_inventory(self) -> None:
         """Engines refuse to report their cache: requests are served nevertheless."""
         runners = [engine(1, 'prefill'), engine(2, 'decode')]
         for runner in runners:
-            runner.tells_kept = False
-        async with running_bed(configuration(), runners) as bench:
-            await trio.sleep(SETTLE_S)
-            seen = await bench.caller('front-1').ask(asked_prompt('/verdict/a', tokens=300, shared=SHARED))
-            self.assertTrue(seen.whole)
+            runner.serves_inventory = False
+        async with open_bench(configuration(), runners) as bench:
+            await trio.sleep(INVENTORY_S)
+            seen = await bench.new_caller('front-1').send(
+                new_prompt_request('/verdict/a', tokens=300, shared_prefix=SHARED_BLOCK)
+            )
+            self.assertTrue(seen.complete)
--- a/tests/front/test_known_engines.py
+++ b/tests/front/test_engine_subset.py
@@ -9,39 +9,39 @@
 
 from sesamepoint_core.serving.address import Address
 from sesamepoint_core.serving.runner import Runner, Stage
+from sesamepoint.front.engine_subset import SUBSET_ENGINES, EngineSubset
 from sesamepoint.front.fleet import Fleet
-from sesamepoint.front.known_engines import KNOWN, KnownEngines
 from sesamepoint.http1.transport import SocketNetwork
 from sesamepoint.platform.configuration import decode_configuration
-from tests.front.builders import encoded_configuration, open_gate
+from tests.front.builders import encoded_configuration, permissive_send_check
 from tests.virtual import virtual
 
-ENTRIES = tuple(f'front-{number}' for number in range(350))
+INSTANCES = tuple(f'front-{number}' for number in range(350))
 
 
 def fleet_of(engines: int, stage: Stage = Stage.decode) -> Fleet:
     """Return a fleet of ``engines`` engines, and 40 runners of a plain service."""
-    fleet = Fleet(2.0, SocketNetwork(), trio.current_time, open_gate())
+    fleet = Fleet(2.0, SocketNetwork(), trio.current_time, permissive_send_check())
     for number in range(engines):
-        fleet.update(Runner(f'i-{number}', 'llm', Address('10.0.0.1', number), 'z1', 24, leaving=False, stage=stage))
+        fleet.update(Runner(f'i-{number}', 'llm', Address('10.0.0.1', number), 'z1', 24, draining=False, stage=stage))
     for number in range(40):
         address = Address('10.0.0.2', number)
-        fleet.update(Runner(f'w-{number}', 'web', address, 'z1', 6, leaving=False, stage=Stage.plain))
+        fleet.update(Runner(f'w-{number}', 'web', address, 'z1', 6, draining=False, stage=Stage.plain))
     return fleet
 
 
-class KnownEnginesTest(TestCase):
+class EngineSubsetTest(TestCase):
     """Each instance uses a subset, and can compute the subsets of its peers."""
 
     @virtual
-    async def test_small_fleet_known_whole(self) -> None:
+    async def test_small_fleet_covered(self) -> None:
         """Guards against instances that use only a part of a small fleet."""
-        subset = KnownEngines('front-1', fleet_of(KNOWN))
-        self.assertEqual(len(subset.of_service('llm')), KNOWN)
-        self.assertTrue(subset.whole)
+        subset = EngineSubset('front-1', fleet_of(SUBSET_ENGINES))
+        self.assertEqual(len(subset.of_service('llm')), SUBSET_ENGINES)
+        self.assertTrue(subset.covers_fleet)
 
     @virtual
-    async def test_large_fleet_in_even_shares(self) -> None:
+    async def test_large_fleet_split_evenly(self) -> None:
         """Guards against engines that no instance, or too many instances, use.
 
         With 600 engines and 350 instances, each instance uses some 24 engines
@@ -50,39 +50,39 @@
         announced to every instance.
         """
         fleet = fleet_of(600)
-        by_instance = [KnownEngines(instance, fleet).of_service('llm') for instance in ENTRIES]
+        by_instance = [EngineSubset(instance, fleet).of_service('llm') for instance in INSTANCES]
         sizes = [len(members) for members in by_instance]
         self.assertGreater(min(sizes), 6)
-        self.assertLess(max(sizes), 2 * KNOWN)
+        self.assertLess(max(sizes), 2 * SUBSET_ENGINES)
         uses = Counter(member.runner.key for members in by_instance for member in members)
         self.assertEqual(len(uses), 600)
-        self.assertLess(max(uses.values()), 3 * len(ENTRIES) * KNOWN / 600)
-        self.assertFalse(KnownEngines('front-1', fleet).whole)
+        self.assertLess(max(uses.values()), 3 * len(INSTANCES) * SUBSET_ENGINES / 600)
+        self.assertFalse(EngineSubset('front-1', fleet).covers_fleet)
 
     @virtual
-    async def test_others_known_alike(self) -> None:
+    async def test_subsets_of_peers_agree(self) -> None:
         """Guards against a send that is announced to the wrong peers, rather than to those that use the engine."""
         fleet = fleet_of(100)
-        first = KnownEngines('front-1', fleet)
-        second = KnownEngines('front-2', fleet)
+        first = EngineSubset('front-1', fleet)
+        second = EngineSubset('front-2', fleet)
         for member in fleet.of_service('llm'):
-            self.assertEqual(first.at('front-2', member.runner.key), second.here(member.runner))
+            self.assertEqual(first.contains_at('front-2', member.runner.key), second.contains(member.runner))
 
     @virtual
-    async def test_plain_services_known_whole(self) -> None:
+    async def test_plain_services_covered(self) -> None:
         """Guards against instances that use only a part of the runners of a plain service."""
-        self.assertEqual(len(KnownEngines('front-1', fleet_of(600)).of_service('web')), 40)
+        self.assertEqual(len(EngineSubset('front-1', fleet_of(600)).of_service('web')), 40)
 
     @virtual
     async def test_fleet_grows(self) -> None:
         """The subset is computed anew when runners register."""
-        fleet = fleet_of(KNOWN)
-        subset = KnownEngines('front-1', fleet)
+        fleet = fleet_of(SUBSET_ENGINES)
+        subset = EngineSubset('front-1', fleet)
         subset.of_service('llm')
-        for number in range(KNOWN, 10 * KNOWN):
+        for number in range(SUBSET_ENGINES, 10 * SUBSET_ENGINES):
             address = Address('10.0.0.1', number)
-            fleet.update(Runner(f'i-{number}', 'llm', address, 'z1', 24, leaving=False, stage=Stage.decode))
-        self.assertLess(len(subset.of_service('llm')), 2 * KNOWN)
+            fleet.update(Runner(f'i-{number}', 'llm', address, 'z1', 24, draining=False, stage=Stage.decode))
+        self.assertLess(len(subset.of_service('llm')), 2 * SUBSET_ENGINES)
 
 
 class MemorySizeTest(TestCase):
--- a/tests/front/test_foreign_records.py
+++ b/tests/front/test_invalid_records.py
@@ -10,22 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sesamepoint_core.serving.poison_requests import Incarnation, SuspectRequests
 from sesamepoint_core.serving.prompt import Part
-from sesamepoint_core.serving.suspects import Start, Suspects
+from sesamepoint.front.engine_sends import Send, SendUpdate
 from sesamepoint.front.front import Front
-from sesamepoint.front.notices import EndNote, Notice
-from sesamepoint.front.sends import Send, Word
+from sesamepoint.front.peer_messages import RunnerEnd, SuspectUpdate
 from sesamepoint.platform.configuration import decode_configuration
-from sesamepoint.platform.names import ENTRY_TOPIC, OPERATOR_KEY, OPERATOR_TOPIC, QUARANTINE_TOPIC, RUNNER_TOPIC
-from sesamepoint.platform.registration import decode_runner
-from sesamepoint.platform.unreadable import UnreadableRecordError
-from sesamepoint_standins.platform.bed import PlatformBed, running_bed
-from tests.front.builders import asked, configuration, encoded_configuration, fleet, registration
+from sesamepoint.platform.runner_registration import decode_runner
+from sesamepoint.platform.unreadable_record import UnreadableRecordError
+from sesamepoint.platform.wire_names import INSTANCE_TOPIC, OPERATOR_KEY, OPERATOR_TOPIC, QUARANTINE_TOPIC, RUNNER_TOPIC
+from sesamepoint_standins.platform.bench import PlatformBench, open_bench
+from tests.front.builders import configuration, encoded_configuration, fleet, new_request, registration
 from tests.virtual import virtual
 
 # A registration that lacks one of these fields is invalid.
-REQUIRED = ('service', 'address', 'zone', 'version', 'slots', 'state', 'cold_remaining_ms', 'sequence')
-FOREIGN = st.one_of(
+REQUIRED_FIELDS = ('service', 'address', 'zone', 'version', 'slots', 'state', 'cold_remaining_ms', 'sequence')
+INVALID_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.lists(st.integers(), max_size=2),
@@ -34,7 +34,7 @@
     st.just('64'),
     st.floats(max_value=-0.5, allow_nan=False, allow_infinity=False),
 )
-WRONG: tuple[dict[str, Any], ...] = (
+INVALID_FIELDS: tuple[dict[str, Any], ...] = (
     {'service': []},
     {'service': ''},
     {'address': '10.4.0.1'},
@@ -60,7 +60,7 @@
 )
 
 
-def unreadable(text: bytes) -> bool:
+def is_unreadable(text: bytes) -> bool:
     """Tell whether a registration is refused as unreadable."""
     try:
         decode_runner('i-1', text)
@@ -72,43 +72,43 @@
 class RegistrationTest(TestCase):
     """Registrations with a missing or invalid field are refused."""
 
-    def test_registration_read(self) -> None:
+    def test_registration_decoded(self) -> None:
         runner = decode_runner('i-1', msgspec.json.encode(registration()))
         self.assertEqual((runner.slots, runner.born_ms), (24, 1_700_000_000_000))
 
     def test_field_missing(self) -> None:
         """Guards against a registration that is accepted without a required field."""
-        for name in REQUIRED:
+        for name in REQUIRED_FIELDS:
             incomplete = {key: field_value for key, field_value in registration().items() if key != name}
-            self.assertTrue(unreadable(msgspec.json.encode(incomplete)), name)
+            self.assertTrue(is_unreadable(msgspec.json.encode(incomplete)), name)
 
     def test_field_wrong(self) -> None:
         """Guards against a registration that is accepted with a field of the wrong type or out of range."""
-        for changes in WRONG:
-            self.assertTrue(unreadable(msgspec.json.encode(registration(**changes))), changes)
+        for changes in INVALID_FIELDS:
+            self.assertTrue(is_unreadable(msgspec.json.encode(registration(**changes))), changes)
 
-    @given(st.sampled_from(REQUIRED), FOREIGN)
+    @given(st.sampled_from(REQUIRED_FIELDS), INVALID_VALUES)
     @settings(derandomize=True, max_examples=300)
-    def test_field_of_any_type(self, name: str, found: Any) -> None:
+    def test_field_of_any_type(self, name: str, invalid_value: Any) -> None:
         """Values of any invalid type are refused; any string is valid as a service, zone or version."""
-        changed = msgspec.json.encode(registration(**{name: found}))
-        if name in {'service', 'zone', 'version'} and isinstance(found, str):
+        changed = msgspec.json.encode(registration(**{name: invalid_value}))
+        if name in {'service', 'zone', 'version'} and isinstance(invalid_value, str):
             return
-        self.assertTrue(unreadable(changed))
+        self.assertTrue(is_unreadable(changed))
 
     @given(st.data())
     @settings(derandomize=True, max_examples=300)
-    def test_record_cut(self, draws: st.DataObject) -> None:
+    def test_record_truncated(self, draws: st.DataObject) -> None:
         """Guards against a truncated registration that is accepted."""
         text = msgspec.json.encode(registration())
         end = draws.draw(st.integers(0, len(text) - 1))
-        self.assertTrue(unreadable(text[:end]))
+        self.assertTrue(is_unreadable(text[:end]))
 
     @given(st.binary(max_size=200))
     @settings(derandomize=True, max_examples=300)
     def test_record_binary(self, text: bytes) -> None:
         """Guards against arbitrary bytes that are accepted as a registration."""
-        self.assertTrue(unreadable(text))
+        self.assertTrue(is_unreadable(text))
 
 
 class ConfigurationTest(TestCase):
@@ -116,18 +116,18 @@
 
     @given(st.data())
     @settings(derandomize=True, max_examples=200)
-    def test_configuration_changed(self, draws: st.DataObject) -> None:
+    def test_configuration_field_replaced(self, draws: st.DataObject) -> None:
         """Guards against a configuration that is accepted with an invalid value in any field."""
         document = configuration()
         row = draws.draw(st.sampled_from([document, document['limits'], *document['routes'], *document['services']]))
-        row[draws.draw(st.sampled_from(sorted(row)))] = draws.draw(FOREIGN)
+        row[draws.draw(st.sampled_from(sorted(row)))] = draws.draw(INVALID_VALUES)
         try:
             decode_configuration(msgspec.json.encode(document))
         except UnreadableRecordError:
             return
         # A replaced field is accepted only if it may be null or any text.
         self.assertTrue(
-            any(field_value is None or isinstance(field_value, str | bool) for field_value in _written(document))
+            any(field_value is None or isinstance(field_value, str | bool) for field_value in _field_values(document))
         )
 
     @given(st.binary(max_size=200))
@@ -145,42 +145,42 @@
             decode_configuration(msgspec.json.encode(document))
 
 
-class RunningTest(TestCase):
+class InvalidRecordsInStoreTest(TestCase):
     """Invalid records in the store: serving goes on, and valid records stay in force."""
 
     @virtual
-    async def test_foreign_registrations(self) -> None:
+    async def test_invalid_registrations(self) -> None:
         """Guards against requests that are sent to, or fail because of, invalid registrations.
 
         They are written under new keys and over the record of a runner. The
         other runners serve all callers.
         """
-        async with running_bed(configuration(), fleet()) as bench:
-            for number, changes in enumerate(WRONG):
+        async with open_bench(configuration(), fleet()) as bench:
+            for number, changes in enumerate(INVALID_FIELDS):
                 bench.store.put(RUNNER_TOPIC, f'i-foreign{number}', registration(**{'service': 'web', **changes}))
             bench.store.put_raw(RUNNER_TOPIC, 'i-web1', b'\xff\x00{')
             await trio.sleep(2)
             members = bench.fronts['front-1'].fleet.members
             self.assertEqual([key for key in members if 'foreign' in key], [])
-            await self._served(bench)
+            await self._check_served(bench)
             self.assertEqual(bench.runners['i-web1'].runs, [])
 
     @virtual
-    async def test_foreign_entries_and_configuration(self) -> None:
+    async def test_invalid_instances_and_configuration(self) -> None:
         """Invalid bytes under an instance's name and under the operator's key are logged and ignored."""
-        async with running_bed(configuration(), fleet()) as bench:
+        async with open_bench(configuration(), fleet()) as bench:
             front = bench.fronts['front-1']
             texts = [b'\xff', b'no address', b'10.1.0.9:x', b'[]']
             for number, text in enumerate(texts):
-                bench.store.put_raw(ENTRY_TOPIC, f'entry-{number}', text)
+                bench.store.put_raw(INSTANCE_TOPIC, f'entry-{number}', text)
             bench.store.put_raw(OPERATOR_TOPIC, OPERATOR_KEY, encoded_configuration()[:-9])
             await trio.sleep(2)
             self.assertEqual(front.peers.count(), 1)
-            await self._served(bench)
+            await self._check_served(bench)
 
-    async def _served(self, bed: PlatformBed) -> None:
+    async def _check_served(self, bench: PlatformBench) -> None:
         for _ in range(20):
-            seen = await bed.caller('front-1').ask(asked('/thumb/a'))
+            seen = await bench.new_caller('front-1').send(new_request('/thumb/a'))
             self.assertEqual(seen.status, 200)
 
 
@@ -188,51 +188,59 @@
     """Invalid datagrams on the port for messages from peers."""
 
     @virtual
-    async def test_foreign_datagrams(self) -> None:
+    async def test_invalid_datagrams(self) -> None:
         """Guards against invalid messages about sends: truncated, foreign, or with figures out of range.
 
         If accepted, an hour of prefill or a start time in the far future
         would make an engine unused for that long.
         """
-        good = Word('front-2', (Send(1, 'i-llm2', 0.5, 9000, (Part('a', 9000),)),), ())
-        sends = [good.sends[0]._replace(work_s=seconds) for seconds in (-1.0, 1e9, float('nan'))]
+        good = SendUpdate('front-2', (Send(1, 'i-llm2', 0.5, 9000, (Part('a', 9000),)),), ())
+        sends = [good.sends[0]._replace(prefill_s=seconds) for seconds in (-1.0, 1e9, float('nan'))]
         sends += [good.sends[0]._replace(tokens=-5), good.sends[0]._replace(born_ms=10**15)]
-        sends += [good.sends[0]._replace(parts=(Part('a', -9000),))]
+        sends += [good.sends[0]._replace(blocks=(Part('a', -9000),))]
         datagrams = [msgspec.msgpack.encode(msgspec.structs.replace(good, sends=(send,))) for send in sends]
         raw = msgspec.msgpack.encode(good)
-        async with running_bed(configuration(), fleet()) as bench:
+        async with open_bench(configuration(), fleet()) as bench:
             front = bench.fronts['front-1']
             for datagram in (*datagrams, *(raw[:end] for end in range(len(raw))), b'GET / HTTP/1.1\r\n\r\n'):
-                front.peers.take(datagram)
+                front.peers.on_datagram(datagram)
             member = front.fleet.members['i-llm2']
             self.assertEqual(member.load.streams(trio.current_time()), 0)
-            self.assertEqual(member.cache.kept, ())
-            front.peers.take(raw)
+            self.assertEqual(member.cache.blocks, ())
+            front.peers.on_datagram(raw)
             self.assertEqual(member.load.streams(trio.current_time()), 1)
 
     @virtual
-    async def test_foreign_notices(self) -> None:
+    async def test_invalid_suspect_updates(self) -> None:
         """Guards against requests that become suspect by truncated messages, or by rows with an invalid name or end."""
-        good = Notice('front-2', ends=(EndNote('c1', Start('i-1')), EndNote('c1', Start('i-2'))), quarantined=('c2',))
-        wrong = (EndNote('', Start('i-1')), EndNote('c' * 1000, Start('i-1')), EndNote('c1', Start('i-1', -1)))
+        good = SuspectUpdate(
+            'front-2',
+            ends=(RunnerEnd('c1', Incarnation('i-1')), RunnerEnd('c1', Incarnation('i-2'))),
+            quarantined=('c2',),
+        )
+        wrong = (
+            RunnerEnd('', Incarnation('i-1')),
+            RunnerEnd('c' * 1000, Incarnation('i-1')),
+            RunnerEnd('c1', Incarnation('i-1', -1)),
+        )
         datagrams = [msgspec.msgpack.encode(msgspec.structs.replace(good, ends=(row,))) for row in wrong]
         raw = msgspec.msgpack.encode(good)
-        async with running_bed(configuration(), fleet(), fronts=2) as bench:
+        async with open_bench(configuration(), fleet(), fronts=2) as bench:
             front = bench.fronts['front-1']
             suspects = suspects_of(front)
             await trio.sleep(2)
             for datagram in (*datagrams, *(raw[:end] for end in range(len(raw)))):
-                front.peers.take(datagram)
+                front.peers.on_datagram(datagram)
             self.assertEqual(suspects.all_suspect(), ())
-            front.peers.take(msgspec.msgpack.encode(msgspec.structs.replace(good, entry='nobody')))
+            front.peers.on_datagram(msgspec.msgpack.encode(msgspec.structs.replace(good, entry='nobody')))
             self.assertEqual(suspects.all_suspect(), ())
-            front.peers.take(raw)
+            front.peers.on_datagram(raw)
             self.assertEqual((suspects.all_suspect(), suspects.all_quarantined()), (('c1',), ('c2',)))
 
     @virtual
-    async def test_foreign_quarantine_records(self) -> None:
+    async def test_invalid_quarantine_records(self) -> None:
         """Guards against a quarantine by a record that lists no runner ends."""
-        async with running_bed(configuration(), fleet()) as bench:
+        async with open_bench(configuration(), fleet()) as bench:
             for number, text in enumerate((b'\xff', b'{}', b'[]', b'[["i-1"]', b'[[""]]')):
                 bench.store.put_raw(QUARANTINE_TOPIC, f'c{number}', text)
             bench.store.put_raw(QUARANTINE_TOPIC, 'known', b'[["i-1",0]]')
@@ -240,11 +248,11 @@
             self.assertEqual(suspects_of(bench.fronts['front-1']).all_quarantined(), ('known',))
 
 
-def suspects_of(front: Front) -> Suspects:
+def suspects_of(front: Front) -> SuspectRequests:
     """Return the suspect and quarantined requests that a front knows."""
     return front.peers._quarantine.suspects
 
 
-def _written(document: dict[str, Any]) -> list[Any]:
+def _field_values(document: dict[str, Any]) -> list[Any]:
     rows = [document, document['limits'], *document['routes'], *document['services']]
     return [field_value for row in rows if isinstance(row, dict) for field_value in row.values()]
--- a/tests/front/test_membership.py
+++ b/tests/front/test_lifecycle.py
@@ -7,20 +7,20 @@
 
 import trio
 
-from sesamepoint.platform.names import OPERATOR_TOPIC, RUNNER_TOPIC
-from sesamepoint_standins.platform.bed import PlatformBed, running_bed
+from sesamepoint.platform.wire_names import OPERATOR_TOPIC, RUNNER_TOPIC
+from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from sesamepoint_standins.platform.runner import EngineSpeed
-from tests.front.builders import asked, asked_prompt, configuration, engine, fleet, plain_runner, route
+from tests.front.builders import configuration, engine, fleet, new_prompt_request, new_request, plain_runner, route
 from tests.virtual import virtual
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.platform.caller import Seen
+    from sesamepoint_standins.platform.caller import CallerAnswer
     from sesamepoint_standins.platform.runner import RunnerStandIn
 
-APPLY_S = 2.0
+MAX_APPLY_S = 2.0
 # At this speed 80 tokens take some 4 s.
-SLOW_STREAM = EngineSpeed(step_s=0.05, stride=1)
-DRAIN_S = 2.0
+SLOW_STREAM = EngineSpeed(step_s=0.05, steps_per_event=1)
+MAX_DRAIN_LAG_S = 2.0
 
 
 def with_route(version: int) -> dict[str, object]:
@@ -29,23 +29,23 @@
     return {**base, 'routes': [*base['routes'], route('new', '/new/', 'web', 'idempotent')]}
 
 
-async def statuses(bed: PlatformBed, path: str, seconds: float) -> list[tuple[float, int]]:
+async def poll_statuses(bench: PlatformBench, path: str, seconds: float) -> list[tuple[float, int]]:
     """Send requests to all fronts repeatedly; return pairs of seconds since the start and status."""
     answers = []
     started = trio.current_time()
     while trio.current_time() - started < seconds:
-        for front in tuple(bed.fronts):
-            seen = await bed.caller(front).ask(asked(path))
+        for front in tuple(bench.fronts):
+            seen = await bench.new_caller(front).send(new_request(path))
             answers.append((trio.current_time() - started, seen.status))
         await trio.sleep(0.1)
     return answers
 
 
-def replace_reader(bed: PlatformBed) -> RunnerStandIn:
+def replace_prefill_engine(bench: PlatformBench) -> RunnerStandIn:
     """Have another incarnation listen at the address of the first engine, whose record stays."""
     new = engine(1, 'prefill')
     new.key = 'i-new'
-    bed.network.listen(bed.runners['i-llm1'].address, new.serve)
+    bench.network.listen(bench.runners['i-llm1'].address, new.serve)
     return new
 
 
@@ -55,120 +55,120 @@
     @virtual
     async def test_version_in_force(self) -> None:
         """Guards against a version that some instance does not apply in time."""
-        async with running_bed(configuration(1), fleet(), fronts=3) as bench:
+        async with open_bench(configuration(1), fleet(), fronts=3) as bench:
             bench.publish(with_route(2))
-            answers = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
+            answers = await poll_statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
     @virtual
     async def test_version_slow_store(self) -> None:
         """A version is applied in time although the store takes 0.25 s for each answer."""
-        async with running_bed(configuration(1), fleet()) as bench:
-            bench.store.slow_s = 0.25
+        async with open_bench(configuration(1), fleet()) as bench:
+            bench.store.extra_delay_s = 0.25
             await trio.sleep(1)
             bench.publish(with_route(2))
-            answers = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
+            answers = await poll_statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
     @virtual
-    async def test_version_history_gone(self) -> None:
+    async def test_store_history_lost(self) -> None:
         """Guards against a missed version when the store drops its history; the newest one is listed again."""
-        async with running_bed(configuration(1), fleet()) as bench:
-            bench.store.down = True
+        async with open_bench(configuration(1), fleet()) as bench:
+            bench.store.unavailable = True
             await trio.sleep(3)
             bench.publish(with_route(2))
             bench.store.compact(OPERATOR_TOPIC)
             bench.store.compact(RUNNER_TOPIC)
-            bench.store.down = False
-            answers = await statuses(bench, '/new/a', 4)
-            self.assertEqual({status for at, status in answers if at > APPLY_S}, {200})
+            bench.store.unavailable = False
+            answers = await poll_statuses(bench, '/new/a', 4)
+            self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
     @virtual
-    async def test_version_never_back(self) -> None:
+    async def test_version_not_reverted(self) -> None:
         """Guards against an older version that arrives late and replaces a newer one."""
-        async with running_bed(configuration(1), fleet()) as bench:
+        async with open_bench(configuration(1), fleet()) as bench:
             bench.publish(with_route(5))
-            await trio.sleep(APPLY_S)
+            await trio.sleep(MAX_APPLY_S)
             bench.publish(configuration(3))
-            answers = await statuses(bench, '/new/a', 3)
+            answers = await poll_statuses(bench, '/new/a', 3)
             self.assertEqual({status for _, status in answers}, {200})
 
     @virtual
     async def test_version_unreadable(self) -> None:
         """A version that does not decode leaves the previous one in force."""
-        async with running_bed(configuration(1), fleet()) as bench:
+        async with open_bench(configuration(1), fleet()) as bench:
             bench.publish({'version': 2, 'routes': 'none'})
-            await trio.sleep(APPLY_S)
-            self.assertEqual((await bench.caller('front-1').ask(asked('/thumb/a'))).status, 200)
+            await trio.sleep(MAX_APPLY_S)
+            self.assertEqual((await bench.new_caller('front-1').send(new_request('/thumb/a'))).status, 200)
 
     @virtual
     async def test_store_down(self) -> None:
         """Serving goes on with the last known state while the store is unavailable."""
-        async with running_bed(configuration(1), fleet()) as bench:
-            bench.store.down = True
-            answers = await statuses(bench, '/thumb/a', 8)
+        async with open_bench(configuration(1), fleet()) as bench:
+            bench.store.unavailable = True
+            answers = await poll_statuses(bench, '/thumb/a', 8)
             self.assertEqual({status for _, status in answers}, {200})
 
 
-class RunnerTest(TestCase):
+class RunnerRegistrationTest(TestCase):
     """Runners that drain, restart or lose their registration."""
 
     @virtual
     async def test_drain(self) -> None:
         """Guards against requests to a runner that are sent later than 2 s after it began to drain."""
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
+        async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             left_at = trio.current_time()
             bench.drain_runner('i-web1')
-            answers = await statuses(bench, '/card/a', 4)
+            answers = await poll_statuses(bench, '/card/a', 4)
             self.assertEqual({status for _, status in answers}, {200})
-            last = max((run.started for run in bench.runners['i-web1'].runs), default=left_at)
-            self.assertLess(last - left_at, DRAIN_S)
+            last = max((run.started_at for run in bench.runners['i-web1'].runs), default=left_at)
+            self.assertLess(last - left_at, MAX_DRAIN_LAG_S)
 
     @virtual
-    async def test_restarted_before_its_entry_lapses(self) -> None:
+    async def test_restarted_before_record_expires(self) -> None:
         """Guards against repeated requests to an old incarnation whose record is still in the store.
 
         An engine restarts, and its old record stays for seconds. All prompts
         sent to the old incarnation were rejected, 350 in ten seconds, and each
         counted as an extra arrival. One rejection is enough.
         """
-        async with running_bed(configuration(), fleet()) as bench:
-            new = replace_reader(bench)
+        async with open_bench(configuration(), fleet()) as bench:
+            new = replace_prefill_engine(bench)
             for _ in range(10):
-                req = asked_prompt('/verdict/a', tokens=9000)
-                self.assertEqual((await bench.caller('front-1').ask(req)).body, req.expected)
-            self.assertEqual(new.misdirected, 1)
+                req = new_prompt_request('/verdict/a', tokens=9000)
+                self.assertEqual((await bench.new_caller('front-1').send(req)).body, req.expected_body)
+            self.assertEqual(new.misdirected_count, 1)
 
     @virtual
-    async def test_replaced_runner_is_told_to_all(self) -> None:
+    async def test_replaced_runner_announced_to_peers(self) -> None:
         """Guards against a request from each instance to a runner that one of them knows to be replaced."""
-        async with running_bed(configuration(), fleet(), fronts=3) as bench:
-            new = replace_reader(bench)
+        async with open_bench(configuration(), fleet(), fronts=3) as bench:
+            new = replace_prefill_engine(bench)
             for number in range(9):
-                req = asked_prompt('/verdict/a', tokens=9000)
-                self.assertEqual((await bench.caller(f'front-{number % 3 + 1}').ask(req)).body, req.expected)
-            misdirected = new.misdirected
+                req = new_prompt_request('/verdict/a', tokens=9000)
+                self.assertEqual((await bench.new_caller(f'front-{number % 3 + 1}').send(req)).body, req.expected_body)
+            misdirected = new.misdirected_count
         self.assertEqual(misdirected, 1)
 
     @virtual
-    async def test_registration_gone(self) -> None:
+    async def test_registration_lost(self) -> None:
         """A runner's record vanishes without a drain; the runner gets no request after two seconds."""
-        async with running_bed(configuration(), [plain_runner(1)]) as bench:
+        async with open_bench(configuration(), [plain_runner(1)]) as bench:
             left_at = trio.current_time()
             bench.drop_registration('i-web1')
-            await statuses(bench, '/card/a', 4)
-            last = max(run.started for run in bench.runners['i-web1'].runs)
-            self.assertLess(last - left_at, DRAIN_S)
+            await poll_statuses(bench, '/card/a', 4)
+            last = max(run.started_at for run in bench.runners['i-web1'].runs)
+            self.assertLess(last - left_at, MAX_DRAIN_LAG_S)
 
     @virtual
-    async def test_registrations_lapse_for_a_moment(self) -> None:
+    async def test_registrations_expire_briefly(self) -> None:
         """Guards against refused requests when all records expire in the store and are back a second later."""
-        async with running_bed(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
+        async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
             for key in tuple(bench.runners):
                 bench.drop_registration(key)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_register_again, bench, 0.8)
-                answers = await statuses(bench, '/card/a', 4)
+                nursery.start_soon(_reregister_runners, bench, 0.8)
+                answers = await poll_statuses(bench, '/card/a', 4)
             self.assertEqual({status for _, status in answers}, {200})
 
 
@@ -183,17 +183,17 @@
         requests in progress, announces in its answers to later ones that it
         closes the connection, and is done before the platform would kill it.
         """
-        async with running_bed(configuration(), fleet()) as bench:
+        async with open_bench(configuration(), fleet()) as bench:
             front = bench.fronts['front-1']
-            answers: list[Seen] = []
+            answers: list[CallerAnswer] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_ask_for, bench, 3.0, answers)
+                nursery.start_soon(_ask_repeatedly, bench, 3.0, answers)
                 await trio.sleep(0.5)
                 stopped_at = trio.current_time()
                 await front.wind_down()
                 self.assertLess(trio.current_time() - stopped_at, front.cfg.stop_s)
                 self.assertFalse(front.ready())
-            self.assertEqual({(seen.status, seen.whole) for seen in answers}, {(200, True)})
+            self.assertEqual({(seen.status, seen.complete) for seen in answers}, {(200, True)})
 
     @virtual
     async def test_stop_late_request_on_kept_connection(self) -> None:
@@ -207,20 +207,20 @@
         time is served.
         """
         runners = [engine(1, 'decode', speed=SLOW_STREAM)]
-        async with running_bed(configuration(), [*runners, plain_runner(1)]) as bench:
-            callers = [bench.caller('front-1', f'10.2.0.{number}') for number in (1, 2)]
+        async with open_bench(configuration(), [*runners, plain_runner(1)]) as bench:
+            callers = [bench.new_caller('front-1', f'10.2.0.{number}') for number in (1, 2)]
             async with trio.open_nursery() as nursery:
                 for caller in callers:
-                    nursery.start_soon(caller.ask, asked_prompt('/verdict/a', output=80, deadline_s=20.0))
+                    nursery.start_soon(caller.send, new_prompt_request('/verdict/a', output=80, deadline_s=20.0))
                 await trio.sleep(0.5)
                 nursery.start_soon(bench.fronts['front-1'].wind_down)
                 await trio.sleep(5)
-                refused = await callers[0].ask(asked_prompt('/verdict/a', output=80, deadline_s=8.0))
-                served = await callers[1].ask(asked('/thumb/a', deadline_s=1.0))
+                refused = await callers[0].send(new_prompt_request('/verdict/a', output=80, deadline_s=8.0))
+                served = await callers[1].send(new_request('/thumb/a', deadline_s=1.0))
             self.assertEqual((refused.status, refused.retry_after_s), (503, 0.02))
             self.assertLess(refused.took_s, 0.1)
             self.assertEqual(len(runners[0].runs), 2)
-            self.assertEqual((served.status, served.whole), (200, True))
+            self.assertEqual((served.status, served.complete), (200, True))
 
     @virtual
     async def test_not_ready_before_configuration(self) -> None:
@@ -232,25 +232,25 @@
         longest that callers respect.
         """
         async with trio.open_nursery() as nursery:
-            bench = PlatformBed(nursery)
+            bench = PlatformBench(nursery)
             front = bench.add_front(1)
             await trio.sleep(1)
             self.assertFalse(front.ready())
-            seen = await bench.caller('front-1').ask(asked('/thumb/a'))
+            seen = await bench.new_caller('front-1').send(new_request('/thumb/a'))
             self.assertEqual((seen.status, seen.retry_after_s), (503, 0.667))
             self.assertLess(seen.took_s, 1.1)
             nursery.cancel_scope.cancel()
 
 
-async def _register_again(bed: PlatformBed, after_s: float) -> None:
+async def _reregister_runners(bench: PlatformBench, after_s: float) -> None:
     await trio.sleep(after_s)
-    for runner in tuple(bed.runners.values()):
-        bed.add_runner(runner)
+    for runner in tuple(bench.runners.values()):
+        bench.add_runner(runner)
 
 
-async def _ask_for(bed: PlatformBed, seconds: float, found: list[Seen]) -> None:
+async def _ask_repeatedly(bench: PlatformBench, seconds: float, answers: list[CallerAnswer]) -> None:
     with trio.move_on_after(seconds):
         while True:
             with trio.CancelScope(shield=True):
-                found.append(await bed.caller('front-1').ask(asked_prompt('/tag/a', output=20)))
+                answers.append(await bench.new_caller('front-1').send(new_prompt_request('/tag/a', output=20)))
             await trio.sleep(0.05)
--- a/tests/front/test_limit_faults.py
+++ b/tests/front/test_limit_faults.py
@@ -8,26 +8,29 @@
 
 from sesamepoint.front.runner_limits import RunnerLimits
 from sesamepoint_standins.virtual_time import run_virtual
-from tests.front.limit_faults import play
+from tests.front.limit_faults import run_seed
 
 SEEDS = (1, 2, 3)
 
 
-def _always(*_: Any) -> bool:
+def _always_true(*_: Any) -> bool:
     return True
 
 
 class LimitFaultsTest(TestCase):
     """Requests that reach runners under kills, network cuts, lost datagrams, store outages and changing limits."""
 
-    def test_limits_kept(self) -> None:
+    def test_limits_hold(self) -> None:
         """Guards against more requests than a rate limit allows, whatever instances and runners go through."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.assertEqual(run_virtual(play, seed, seed=seed), [])
+                self.assertEqual(run_virtual(run_seed, seed, seed=seed), [])
 
-    def test_twin_that_heeds_no_limit(self) -> None:
+    def test_faulty_variant_without_limits(self) -> None:
         """Without the rate limits, the oracle finds requests beyond them."""
-        with patch.object(RunnerLimits, 'has_permit', _always), patch.object(RunnerLimits, 'set_aside', _always):
-            violations = [text for seed in SEEDS for text in run_virtual(play, seed, seed=seed)]
+        with (
+            patch.object(RunnerLimits, 'has_permit', _always_true),
+            patch.object(RunnerLimits, 'reserve_if_limited', _always_true),
+        ):
+            violations = [text for seed in SEEDS for text in run_virtual(run_seed, seed, seed=seed)]
         self.assertTrue(any(text.startswith('limit') for text in violations))
--- a/tests/front/test_lost_answers.py
+++ b/tests/front/test_lost_answers.py
@@ -16,153 +16,156 @@
 import trio
 
 from sesamepoint_core.admit.window_budget import WindowBudget
-from sesamepoint_core.serving.losses import HALF_S, LossMeter
-from sesamepoint_standins.platform.bed import PlatformBed, running_bed
-from tests.front.builders import asked_prompt, configuration, engine
+from sesamepoint_core.serving.loss_meter import HALF_LIFE_S, LossMeter
+from sesamepoint_standins.platform.bench import PlatformBench, open_bench
+from tests.front.builders import configuration, engine, new_prompt_request
 from tests.virtual import virtual
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.platform.caller import Asked, Seen
+    from sesamepoint_standins.platform.caller import CallerAnswer, RequestSpec
 
 FRONTS = 8
 ENGINES = 16
-BAD = 4
-LOSES = 0.4
-BAD_S = 4.0
-PER_FRONT = 8
+LOSSY_ENGINES = 4
+LOSS_SHARE = 0.4
+LOSSY_S = 4.0
+RATE_PER_FRONT = 8
 CALM_S = 1.0
-READERS = 6
+PREFILL_ENGINES = 6
 LONG_PROMPTS = 60
-LONG_A_SECOND = 25
+LONG_PER_S = 25
 LONG_TOKENS = 20_000
 LONG_TARGET_S = 0.4
-GOOD = 200
+STATUS_OK = 200
 
 
-def _nothing_seen(*_: object) -> float:
+def _no_losses(*_: object) -> float:
     return 0
 
 
-async def _ask(bed: PlatformBed, front: int, req: Asked, found: list[tuple[str, Seen]]) -> None:
-    found.append((req.path, await bed.caller(f'front-{front}').ask(req)))
+async def _ask(bench: PlatformBench, front: int, req: RequestSpec, answers: list[tuple[str, CallerAnswer]]) -> None:
+    answers.append((req.path, await bench.new_caller(f'front-{front}').send(req)))
 
 
-async def _send(bed: PlatformBed, front: int, rng: Random, found: list[tuple[str, Seen]]) -> None:
+async def _send(bench: PlatformBench, front: int, rng: Random, answers: list[tuple[str, CallerAnswer]]) -> None:
     async with trio.open_nursery() as nursery:
-        with trio.move_on_after(CALM_S + BAD_S):
+        with trio.move_on_after(CALM_S + LOSSY_S):
             while True:
-                await trio.sleep(rng.expovariate(PER_FRONT))
+                await trio.sleep(rng.expovariate(RATE_PER_FRONT))
                 path = rng.choice(('/verdict/a', '/tag/a'))
-                nursery.start_soon(_ask, bed, front, asked_prompt(path, tokens=300, output=5), found)
+                nursery.start_soon(_ask, bench, front, new_prompt_request(path, tokens=300, output=5), answers)
 
 
-async def play_failed_reads(seed: int) -> list[Seen]:
+async def run_failed_prefills(seed: int) -> list[CallerAnswer]:
     """Send long prompts while half of the prefill engines lose answers; return what callers saw."""
-    answers: list[tuple[str, Seen]] = []
-    prefill_engines = [engine(number, 'prefill') for number in range(1, READERS + 1)]
-    runners = [*prefill_engines, *(engine(number, 'decode') for number in range(READERS + 1, 2 * READERS + 1))]
-    async with running_bed(configuration(), runners, fronts=3) as bench:
+    answers: list[tuple[str, CallerAnswer]] = []
+    prefill_engines = [engine(number, 'prefill') for number in range(1, PREFILL_ENGINES + 1)]
+    runners = [
+        *prefill_engines,
+        *(engine(number, 'decode') for number in range(PREFILL_ENGINES + 1, 2 * PREFILL_ENGINES + 1)),
+    ]
+    async with open_bench(configuration(), runners, fronts=3) as bench:
         await trio.sleep(2)
         rng = Random(seed)
-        for runner in prefill_engines[: READERS // 2]:
-            runner.faults.loses = LOSES
+        for runner in prefill_engines[: PREFILL_ENGINES // 2]:
+            runner.faults.loses = LOSS_SHARE
         async with trio.open_nursery() as nursery:
             for _ in range(LONG_PROMPTS):
-                await trio.sleep(rng.expovariate(LONG_A_SECOND))
-                req = asked_prompt('/verdict/a', tokens=LONG_TOKENS, output=20)
+                await trio.sleep(rng.expovariate(LONG_PER_S))
+                req = new_prompt_request('/verdict/a', tokens=LONG_TOKENS, output=20)
                 nursery.start_soon(_ask, bench, rng.randint(1, 3), req, answers)
     return [seen for _, seen in answers]
 
 
-def _no_room(*_: object) -> bool:
+def _no_budget(*_: object) -> bool:
     return False
 
 
-async def play_losses(seed: int) -> list[tuple[str, Seen]]:
+async def run_losses(seed: int) -> list[tuple[str, CallerAnswer]]:
     """Run the load with losses; return what callers saw, by path."""
-    answers: list[tuple[str, Seen]] = []
+    answers: list[tuple[str, CallerAnswer]] = []
     runners = [engine(number, 'decode') for number in range(1, ENGINES + 1)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
+    async with open_bench(configuration(), runners, fronts=FRONTS) as bench:
         await trio.sleep(2)
         rng = Random(seed)
         async with trio.open_nursery() as nursery:
             for front in range(1, FRONTS + 1):
                 nursery.start_soon(_send, bench, front, rng, answers)
             await trio.sleep(CALM_S)
-            for runner in runners[:BAD]:
-                runner.faults.loses = LOSES
+            for runner in runners[:LOSSY_ENGINES]:
+                runner.faults.loses = LOSS_SHARE
     return answers
 
 
-def unserved(found: list[tuple[str, Seen]], path: str) -> float:
-    """Return the share of the requests of ``path`` that got no complete answer."""
-    seen = [one for where, one in found if where == path]
-    return sum(one.status != GOOD or not one.whole for one in seen) / len(seen)
+def unserved_share(answers: list[tuple[str, CallerAnswer]], path: str) -> float:
+    """Return the share of the requests of ``placement`` that got no complete answer."""
+    seen = [one for where, one in answers if where == path]
+    return sum(one.status != STATUS_OK or not one.complete for one in seen) / len(seen)
 
 
 class LostAnswersTest(TestCase):
     """What callers get while engines lose answers."""
 
     @virtual
-    async def test_engines_that_lose_answers_are_avoided(self) -> None:
+    async def test_lossy_engines_avoided(self) -> None:
         """Guards against instances that keep sending to engines that lose answers.
 
         Each lost answer is announced to all instances, which send elsewhere
         within tenths of a second. Less than a third as many of the requests
         that must not run again are lost as without loss meters.
         """
-        metered = [seen for seed in (1, 2) for seen in await play_losses(seed)]
-        with patch.object(LossMeter, 'share', _nothing_seen):
-            unmetered = [seen for seed in (1, 2) for seen in await play_losses(seed)]
-        self.assertGreater(unserved(unmetered, '/verdict/a'), 0.05)
-        self.assertLess(unserved(metered, '/verdict/a'), unserved(unmetered, '/verdict/a') / 3)
+        metered = [seen for seed in (1, 2) for seen in await run_losses(seed)]
+        with patch.object(LossMeter, 'share', _no_losses):
+            unmetered = [seen for seed in (1, 2) for seen in await run_losses(seed)]
+        self.assertGreater(unserved_share(unmetered, '/verdict/a'), 0.05)
+        self.assertLess(unserved_share(metered, '/verdict/a'), unserved_share(unmetered, '/verdict/a') / 3)
 
     @virtual
-    async def test_lost_answers_are_asked_for_again(self) -> None:
+    async def test_lost_answers_retried(self) -> None:
         """Guards against resumable requests that are not retried at another engine.
 
         That engine may lose the answer too. Without loss meters, half as many
         of the resumable requests stay unanswered as of the others.
         """
-        with patch.object(LossMeter, 'share', _nothing_seen):
-            answers = await play_losses(3)
-        self.assertLess(unserved(answers, '/tag/a'), 0.6 * unserved(answers, '/verdict/a'))
+        with patch.object(LossMeter, 'share', _no_losses):
+            answers = await run_losses(3)
+        self.assertLess(unserved_share(answers, '/tag/a'), 0.6 * unserved_share(answers, '/verdict/a'))
 
     @virtual
-    async def test_lost_reads_are_done_again_apart(self) -> None:
+    async def test_failed_remote_prefills_retried(self) -> None:
         """Guards against late answers because failed remote prefills are not retried at prefill engines.
 
         Half of the prefill engines lose four answers in ten. Run whole at
         decode engines, at half the speed, the prompts delay each other: 16 of
         120 were late, and 2 when prefilled remotely again.
         """
-        retried = await play_failed_reads(1) + await play_failed_reads(2)
-        with patch.object(WindowBudget, 'spend', _no_room):
-            whole = await play_failed_reads(1) + await play_failed_reads(2)
-        late = [sum(seen.first_s > LONG_TARGET_S for seen in answers) for answers in (retried, whole)]
-        self.assertTrue(all(seen.status == GOOD for seen in retried))
+        retried = await run_failed_prefills(1) + await run_failed_prefills(2)
+        with patch.object(WindowBudget, 'spend', _no_budget):
+            whole = await run_failed_prefills(1) + await run_failed_prefills(2)
+        late = [sum(seen.first_byte_s > LONG_TARGET_S for seen in answers) for answers in (retried, whole)]
+        self.assertTrue(all(seen.status == STATUS_OK for seen in retried))
         self.assertLess(late[0], late[1] / 2)
 
 
 class LossMeterTest(TestCase):
     """The expected loss share of an engine, from the answers seen."""
 
-    def test_one_loss_is_little(self) -> None:
+    def test_one_loss_counts_little(self) -> None:
         """One lost answer may be the fault of the instance that missed it."""
         meter = LossMeter()
-        meter.note(0, lost=True)
+        meter.observe(0, lost=True)
         self.assertAlmostEqual(meter.share(0), 0.2)
 
     def test_many_losses(self) -> None:
         """With many answers the expected share approaches the observed one."""
         meter = LossMeter()
         for number in range(20):
-            meter.note(0, lost=number % 2 == 0)
+            meter.observe(0, lost=number % 2 == 0)
         self.assertAlmostEqual(meter.share(0), 10 / 24)
 
-    def test_fades(self) -> None:
+    def test_decays(self) -> None:
         """Guards against an engine that is avoided forever: without new requests, its losses must decay."""
         meter = LossMeter()
         for _ in range(8):
-            meter.note(0, lost=True)
-        self.assertAlmostEqual(meter.share(4 * HALF_S), 0.5 / 4.5)
+            meter.observe(0, lost=True)
+        self.assertAlmostEqual(meter.share(4 * HALF_LIFE_S), 0.5 / 4.5)
--- a/tests/front/test_processes.py
+++ b/tests/front/test_processes.py
@@ -10,109 +10,109 @@
 
 import trio
 
-from sesamepoint_standins.platform.processes import ProcessBed, caller_of, ready, running_processes
-from tests.front.builders import asked, asked_prompt, configuration
-from tests.front.harmful import ENDED_BY_THEN, all_end_on_it, harmful_fetch
+from sesamepoint_standins.platform.process_bench import ProcessBench, is_ready, new_caller, open_process_bench
+from tests.front.builders import configuration, new_prompt_request, new_request
+from tests.front.poison_requests import ENDS_UNTIL_DETECTION, end_on_poison, poison_plain_request
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.platform.caller import Asked, Seen
+    from sesamepoint_standins.platform.caller import CallerAnswer, RequestSpec
 
-STOP_LIMIT_S = 30.0
-BAD_GATEWAY = 502
-NOT_RUN = 503
+STOP_TIMEOUT_S = 30.0
+STATUS_BAD_GATEWAY = 502
+STATUS_NOT_RUN = 503
 
 
-class ProcessTest(TestCase):
+class FrontProcessTest(TestCase):
     """Two front processes with a store and four runners."""
 
-    def test_whole_path(self) -> None:
+    def test_lifecycle_under_load(self) -> None:
         """Send each kind of request to each front; reload and stop one under load, start a third, kill the second."""
         with tempfile.TemporaryDirectory() as folder:
-            trio.run(self._play, Path(folder))
+            trio.run(self._run_scenario, Path(folder))
 
-    async def _play(self, folder: Path) -> None:
-        async with running_processes(configuration(), folder, fronts=2) as bench:
-            await self._serve_each_kind(bench)
+    async def _run_scenario(self, directory: Path) -> None:
+        async with open_process_bench(configuration(), directory, fronts=2) as bench:
+            await self._check_each_kind(bench)
             bench.fronts[0].process.send_signal(signal.SIGHUP)
-            await self._serve_each_kind(bench)
+            await self._check_each_kind(bench)
             await self._stop_under_load(bench)
             await bench.add_front()
             bench.fronts[1].process.send_signal(signal.SIGKILL)
-            await self._check(bench, 2, asked('/card/a'))
-        log = (folder / 'front-1.log').read_text(encoding='utf-8')
+            await self._check(bench, 2, new_request('/card/a'))
+        log = (directory / 'front-1.log').read_text(encoding='utf-8')
         for text in ('process started', 'settings read again', 'graceful stop requested', 'process stopped'):
             self.assertIn(text, log)
 
-    async def _serve_each_kind(self, bed: ProcessBed) -> None:
+    async def _check_each_kind(self, bench: ProcessBench) -> None:
         for number in range(2):
             for request in (
-                asked('/card/a'),
-                asked('/thumb/a'),
-                asked_prompt('/tag/a'),
-                asked_prompt('/verdict/a', 9000),
+                new_request('/card/a'),
+                new_request('/thumb/a'),
+                new_prompt_request('/tag/a'),
+                new_prompt_request('/verdict/a', 9000),
             ):
-                await self._check(bed, number, request)
+                await self._check(bench, number, request)
 
-    async def _check(self, bed: ProcessBed, number: int, req: Asked) -> None:
-        answer = await caller_of(bed.fronts[number]).ask(req)
-        self.assertEqual((answer.status, answer.body, answer.whole), (200, req.expected, True))
+    async def _check(self, bench: ProcessBench, index: int, req: RequestSpec) -> None:
+        answer = await new_caller(bench.fronts[index]).send(req)
+        self.assertEqual((answer.status, answer.body, answer.complete), (200, req.expected_body, True))
 
-    async def _stop_under_load(self, bed: ProcessBed) -> None:
-        front = bed.fronts[0]
-        answers: list[Seen] = []
+    async def _stop_under_load(self, bench: ProcessBench) -> None:
+        front = bench.fronts[0]
+        answers: list[CallerAnswer] = []
         async with trio.open_nursery() as nursery:
             for _ in range(8):
-                nursery.start_soon(_ask_until_stopped, bed, answers)
+                nursery.start_soon(_send_until_stopped, bench, answers)
             await trio.sleep(0.2)
             front.process.send_signal(signal.SIGTERM)
-            with trio.fail_after(STOP_LIMIT_S):
-                while await ready(front):
+            with trio.fail_after(STOP_TIMEOUT_S):
+                while await is_ready(front):
                     await trio.sleep(0.05)
                 # It reports not ready while it still serves, not because it has ended.
                 self.assertIsNone(front.process.poll())
                 await front.process.wait()
         self.assertEqual(front.process.returncode, 0)
         # There is no answer if a connection was closed before any of its request was read.
-        self.assertEqual({(answer.status, answer.whole) for answer in answers if answer.status}, {(200, True)})
+        self.assertEqual({(answer.status, answer.complete) for answer in answers if answer.status}, {(200, True)})
 
 
-class HarmfulRequestTest(TestCase):
+class PoisonRequestTest(TestCase):
     """Three front processes, and plain runners that crash on a poison request."""
 
-    def test_known_to_all_processes(self) -> None:
+    def test_quarantined_by_all_processes(self) -> None:
         """Two runners end at the first front and one at the second; the third refuses, also after a restart."""
         with tempfile.TemporaryDirectory() as folder:
-            trio.run(self._play, Path(folder))
+            trio.run(self._run_scenario, Path(folder))
 
-    async def _play(self, folder: Path) -> None:
-        async with running_processes(configuration(), folder, fronts=3) as bench:
+    async def _run_scenario(self, directory: Path) -> None:
+        async with open_process_bench(configuration(), directory, fronts=3) as bench:
             for _ in range(3):
                 await bench.add_runner('web')
-            all_end_on_it(runner for runner in bench.runners if runner.service == 'web')
-            await bench.until_all_show('sesamepoint_entries 3.0')
-            await bench.until_all_show(f'sesamepoint_runners {len(bench.runners)}.0')
-            self.assertEqual((await self._ask(bench, 0)).status, BAD_GATEWAY)
-            await bench.until_all_show('sesamepoint_suspects 1.0')
-            await bench.until_all_show('sesamepoint_suspect_ends 2.0')
-            self.assertEqual((await self._ask(bench, 1)).status, BAD_GATEWAY)
-            await bench.until_all_show('sesamepoint_quarantined 1.0')
-            self.assertEqual((await self._ask(bench, 2)).status, NOT_RUN)
+            end_on_poison(runner for runner in bench.runners if runner.service == 'web')
+            await bench.wait_until_all_show('sesamepoint_entries 3.0')
+            await bench.wait_until_all_show(f'sesamepoint_runners {len(bench.runners)}.0')
+            self.assertEqual((await self._send_poison_request(bench, 0)).status, STATUS_BAD_GATEWAY)
+            await bench.wait_until_all_show('sesamepoint_suspects 1.0')
+            await bench.wait_until_all_show('sesamepoint_suspect_ends 2.0')
+            self.assertEqual((await self._send_poison_request(bench, 1)).status, STATUS_BAD_GATEWAY)
+            await bench.wait_until_all_show('sesamepoint_quarantined 1.0')
+            self.assertEqual((await self._send_poison_request(bench, 2)).status, STATUS_NOT_RUN)
             bench.fronts[2].process.send_signal(signal.SIGKILL)
             await bench.fronts[2].process.wait()
-            await bench.until_ready(await bench.restart_front(2))
-            self.assertEqual((await self._ask(bench, 2)).status, NOT_RUN)
-            self.assertEqual(len(bench.ended), ENDED_BY_THEN)
-            request = asked('/thumb/sound')
-            self.assertEqual((await caller_of(bench.fronts[2]).ask(request)).body, request.expected)
+            await bench.wait_until_ready(await bench.restart_front(2))
+            self.assertEqual((await self._send_poison_request(bench, 2)).status, STATUS_NOT_RUN)
+            self.assertEqual(len(bench.crashed), ENDS_UNTIL_DETECTION)
+            request = new_request('/thumb/sound')
+            self.assertEqual((await new_caller(bench.fronts[2]).send(request)).body, request.expected_body)
 
-    async def _ask(self, bed: ProcessBed, number: int) -> Seen:
-        return await caller_of(bed.fronts[number]).ask(harmful_fetch())
+    async def _send_poison_request(self, bench: ProcessBench, index: int) -> CallerAnswer:
+        return await new_caller(bench.fronts[index]).send(poison_plain_request())
 
 
-async def _ask_until_stopped(bed: ProcessBed, found: list[Seen]) -> None:
-    caller = caller_of(bed.fronts[0])
-    while bed.fronts[0].process.poll() is None:
-        answer = await caller.ask(asked_prompt('/tag/a', output=20))
-        found.append(answer)
+async def _send_until_stopped(bench: ProcessBench, answers: list[CallerAnswer]) -> None:
+    caller = new_caller(bench.fronts[0])
+    while bench.fronts[0].process.poll() is None:
+        answer = await caller.send(new_prompt_request('/tag/a', output=20))
+        answers.append(answer)
         if not answer.status:
             await trio.sleep(0.1)
--- a/tests/front/test_beside_harmful_requests.py
+++ b/tests/front/test_requests_beside_poison.py
@@ -14,133 +14,136 @@
 
 import trio
 
-from sesamepoint.front.trials import Trials
-from sesamepoint_standins.platform.bed import running_bed
-from tests.front.builders import asked, asked_prompt, configuration, engine, plain_runner
-from tests.front.harmful import (
-    ENDED_BY_THEN,
+from sesamepoint.front.probes import Probes
+from sesamepoint_standins.platform.bench import open_bench
+from tests.front.builders import configuration, engine, new_prompt_request, new_request, plain_runner
+from tests.front.poison_requests import (
+    ENDS_UNTIL_DETECTION,
     FRONTS,
-    GOOD,
-    PAUSE_S,
-    ask_again,
-    ask_all,
-    ask_beside,
-    ask_often,
-    engines,
+    STATUS_OK,
+    RESTART_WAIT_S,
+    ask_until_answered,
+    ask_concurrently,
+    ask_mixed,
+    ask_same_request,
+    engines_ending_on_poison,
 )
 from tests.virtual import virtual
 
 if TYPE_CHECKING:
-    from sesamepoint_standins.platform.caller import Seen
+    from sesamepoint_standins.platform.caller import CallerAnswer
 
 SEEDS = (1, 2)
 # One round trip, with some margin.
-AT_ONCE_S = 0.02
+ROUND_TRIP_S = 0.02
 # Two answers of 0.4 s, one probe connection, and the queue at a single engine.
-LATEST_S = 1.5
+MAX_ANSWER_S = 1.5
 
 
-class BesideItTest(TestCase):
+class RequestsBesidePoisonTest(TestCase):
     """Healthy requests that were in progress at a runner when it ended."""
 
     @virtual
-    async def test_sound_requests_keep_their_retry(self) -> None:
+    async def test_healthy_requests_retried(self) -> None:
         """Guards against healthy requests that are refused because they ran beside a poison request.
 
         Four engines serve healthy requests while the poison request is sent repeatedly. Requests beside it lose their
         answers, some more than once. All are retried, and all are answered once engines are up.
         """
         for seed in SEEDS:
-            async with running_bed(configuration(), engines(4), fronts=FRONTS) as bench:
-                answers: list[Seen] = []
+            async with open_bench(configuration(), engines_ending_on_poison(4), fronts=FRONTS) as bench:
+                answers: list[CallerAnswer] = []
                 async with trio.open_nursery() as nursery:
-                    await ask_beside(bench, Random(seed), answers, nursery)
+                    await ask_mixed(bench, Random(seed), answers, nursery)
                 with self.subTest(seed=seed):
-                    self.assertGreaterEqual(len(bench.ended), ENDED_BY_THEN)
-                    self.assertEqual([seen for seen in answers if seen.status != GOOD or not seen.whole], [])
+                    self.assertGreaterEqual(len(bench.crashes), ENDS_UNTIL_DETECTION)
+                    self.assertEqual([seen for seen in answers if seen.status != STATUS_OK or not seen.complete], [])
 
     @virtual
-    async def test_twin_tried_together(self) -> None:
+    async def test_faulty_variant_probes_together(self) -> None:
         """Without exclusive probes, a healthy request at the same runner is taken for the poison request."""
-        answers: list[Seen] = []
+        answers: list[CallerAnswer] = []
         shared_probes = (
-            patch.object(Trials, 'won', return_value=True),
-            patch.object(Trials, 'taken', return_value=False),
+            patch.object(Probes, 'has_precedence', return_value=True),
+            patch.object(Probes, 'runner_claimed', return_value=False),
         )
         with shared_probes[0], shared_probes[1]:
-            async with running_bed(configuration(), engines(4), fronts=FRONTS) as bench, trio.open_nursery() as nursery:
-                await ask_beside(bench, Random(1), answers, nursery)
-        self.assertNotEqual([seen for seen in answers if seen.status != GOOD], [])
+            async with (
+                open_bench(configuration(), engines_ending_on_poison(4), fronts=FRONTS) as bench,
+                trio.open_nursery() as nursery,
+            ):
+                await ask_mixed(bench, Random(1), answers, nursery)
+        self.assertNotEqual([seen for seen in answers if seen.status != STATUS_OK], [])
 
     @virtual
-    async def test_asked_often_while_three_runners_end(self) -> None:
+    async def test_popular_request_while_runners_end(self) -> None:
         """Guards against a popular request that is quarantined because three runners ended at once by their own fault.
 
         Simultaneous ends are no evidence. When the runners are back, one probe is answered, and all callers are served.
         """
         runners = [plain_runner(number) for number in range(1, 4)]
-        async with running_bed(configuration(), runners, fronts=2) as bench:
+        async with open_bench(configuration(), runners, fronts=2) as bench:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask_often, bench, [], nursery)
+                nursery.start_soon(ask_same_request, bench, [], nursery)
                 await trio.sleep(0.25)
                 for runner in runners:
-                    bench.end_runner(runner)
-            await trio.sleep(PAUSE_S)
-            seen = await ask_all(bench, [*bench.fronts, *bench.fronts], asked('/thumb/often'))
-            self.assertEqual({one.status for one in seen}, {GOOD})
+                    bench.crash_runner(runner)
+            await trio.sleep(RESTART_WAIT_S)
+            seen = await ask_concurrently(bench, [*bench.fronts, *bench.fronts], new_request('/thumb/often'))
+            self.assertEqual({one.status for one in seen}, {STATUS_OK})
 
     @virtual
-    async def test_answers_lost_at_runners_that_live(self) -> None:
+    async def test_answers_lost_by_live_runners(self) -> None:
         """Guards against requests that become suspect when a runner resets connections but stays up."""
         runners = [plain_runner(number) for number in range(1, 4)]
-        async with running_bed(configuration(), runners, fronts=2) as bench:
+        async with open_bench(configuration(), runners, fronts=2) as bench:
             for runner in runners:
                 runner.faults.breaks_before_answer = True
             for _ in range(4):
-                await bench.caller('front-1').ask(asked('/thumb/unlucky'))
+                await bench.new_caller('front-1').send(new_request('/thumb/unlucky'))
             for runner in runners:
                 runner.faults.breaks_before_answer = False
-            seen = await bench.caller('front-1').ask(asked('/thumb/unlucky'))
-            self.assertEqual(seen.status, GOOD)
-            self.assertAlmostEqual(seen.took_s, runners[0].work_s, delta=AT_ONCE_S)
+            seen = await bench.new_caller('front-1').send(new_request('/thumb/unlucky'))
+            self.assertEqual(seen.status, STATUS_OK)
+            self.assertAlmostEqual(seen.took_s, runners[0].work_s, delta=ROUND_TRIP_S)
 
     @virtual
-    async def test_retry_while_no_connection_comes_about(self) -> None:
+    async def test_retry_while_connections_hang(self) -> None:
         """Guards against requests that wait in turn for a probe connection each.
 
         All connections of a runner break, and new ones are neither accepted nor refused, so whether it has ended is
         unknown. All its requests are retried after a single probe connection.
         """
         runners = [engine(number, 'decode') for number in (1, 2)]
-        async with running_bed(configuration(), runners, fronts=1) as bench:
-            answers: list[Seen] = []
+        async with open_bench(configuration(), runners, fronts=1) as bench:
+            answers: list[CallerAnswer] = []
             async with trio.open_nursery() as nursery:
                 for number in range(24):
-                    req = asked_prompt('/tag/a', output=10)._replace(body=f'sound {number}'.encode())
-                    nursery.start_soon(ask_again, bench, ['front-1'], req, answers)
+                    req = new_prompt_request('/tag/a', output=10)._replace(body=f'sound {number}'.encode())
+                    nursery.start_soon(ask_until_answered, bench, ['front-1'], req, answers)
                 await trio.sleep(0.15)
                 front = bench.fronts['front-1'].cfg.host
-                bench.network.cut.add(frozenset((front, runners[0].address.host)))
+                bench.network.cut_pairs.add(frozenset((front, runners[0].address.host)))
                 bench.network.reset_all(runners[0].address.host)
-            self.assertEqual({seen.status for seen in answers}, {GOOD})
-            self.assertLess(max(seen.took_s for seen in answers), LATEST_S)
+            self.assertEqual({seen.status for seen in answers}, {STATUS_OK})
+            self.assertLess(max(seen.took_s for seen in answers), MAX_ANSWER_S)
 
     @virtual
-    async def test_at_runners_that_leave(self) -> None:
+    async def test_draining_runners_end(self) -> None:
         """Guards against requests that become suspect when draining runners end with requests in progress.
 
         The caller's first attempt loses two engines, the second attempt a third; the fourth engine answers it.
         """
         runners = [engine(number, 'decode') for number in range(1, 5)]
-        async with running_bed(configuration(), runners, fronts=1) as bench:
-            req = asked_prompt('/tag/a', output=60)._replace(body=b'long')
-            answers: list[Seen] = []
+        async with open_bench(configuration(), runners, fronts=1) as bench:
+            req = new_prompt_request('/tag/a', output=60)._replace(body=b'long')
+            answers: list[CallerAnswer] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask_again, bench, ['front-1', 'front-1'], req, answers)
+                nursery.start_soon(ask_until_answered, bench, ['front-1', 'front-1'], req, answers)
                 for _ in runners[:3]:
                     await trio.sleep(0.3)
                     busy = next(one for one in runners if one.running)
                     bench.drain_runner(busy.key)
                     await trio.sleep(0.5)
-                    bench.end_runner(busy)
-            self.assertEqual((answers[0].status, answers[0].whole), (GOOD, True))
+                    bench.crash_runner(busy)
+            self.assertEqual((answers[0].status, answers[0].complete), (STATUS_OK, True))
--- a/tests/front/word_faults.py
+++ b/tests/front/word_faults.py
@@ -11,68 +11,72 @@
 
 import trio
 
-from sesamepoint_standins.platform.bed import PlatformBed, running_bed
+from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from sesamepoint_standins.platform.runner import Faults
-from sesamepoint_standins.platform.word_bounds import in_rest, requests_after_leaving
+from sesamepoint_standins.platform.status_bounds import back_off_violations, caller_draining_violations
 from tests.front.builders import configuration, engine, plain_runner
-from tests.front.limit_faults import LimitWorld
-from tests.front.random_faults import FRONTS, broken_promises, main
+from tests.front.limit_faults import LimitFaultSimulation
+from tests.front.random_faults import FRONTS, find_violations, main
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.runner import RunnerStandIn
 
-RESTS = (b'1', b'3', b'8')
-LONGEST_BACK_S = 4.0
+BACK_OFF_HEADERS = (b'1', b'3', b'8')
+MAX_ROLLBACK_S = 4.0
 # The store counts as stable after so long without a disruption; bounds on requests apply only then.
-STABLE_S = 3.0
+STORE_STABLE_S = 3.0
 
 
-class WordWorld(LimitWorld):
+class StatusFaultSimulation(LimitFaultSimulation):
     """Runners send all three status headers; the store fails, slows down or rolls back, and instances restart."""
 
-    def __init__(self, bed: PlatformBed, rng: Random) -> None:
+    def __init__(self, bed: PlatformBench, rng: Random) -> None:
         """Draw all from ``rng``."""
         super().__init__(bed, rng)
-        self._back_at = -math.inf
-        words = (self._say_leaving, self._ask_rest, self._say_all)
-        self._steps = (*self._steps, *words, *words, self._end_rests, self._store_back, self._cut_peers)
+        self._rolled_back_at = -math.inf
+        words = (self._report_draining, self._start_back_off, self._report_all)
+        self._steps = (*self._steps, *words, *words, self._end_back_offs, self._roll_back_store, self._cut_peer_link)
 
-    def over_words(self) -> list[str]:
+    def status_violations(self) -> list[str]:
         """Return violations: requests to runners that were draining or in back-off."""
-        runners = self.runners()
-        violations = [text for runner in runners for text in requests_after_leaving(runner, self._started_between)[:1]]
-        return violations + [text for runner in runners for text in in_rest(runner, excused=self._started_between)[:1]]
-
-    def _started_between(self, host: str, since: float, until: float) -> bool:
-        return any(since <= at <= until for at in self.starts.get(host, ()))
-
-    def _unsaid(self) -> RunnerStandIn:
+        runners = self.all_runners()
+        violations = [
+            text for runner in runners for text in caller_draining_violations(runner, self._has_started_between)[:1]
+        ]
+        return violations + [
+            text for runner in runners for text in back_off_violations(runner, is_excused=self._has_started_between)[:1]
+        ]
+
+    def _has_started_between(self, host: str, since: float, until: float) -> bool:
+        return any(since <= at <= until for at in self.instance_starts.get(host, ()))
+
+    def _runner_not_draining(self) -> RunnerStandIn:
         """Return a runner that does not report draining."""
-        return self._rng.choice([runner for runner in self.bed.runners.values() if not runner.says_leaving])
+        return self._rng.choice([runner for runner in self.bench.runners.values() if not runner.draining_headers])
 
-    def _say_leaving(self) -> None:
+    def _report_draining(self) -> None:
         """Have a runner report draining in its answers only, and add a replacement."""
-        runner = self._unsaid()
-        self._replacement(runner)
-        runner.says_leaving = (b'1',)
+        runner = self._runner_not_draining()
+        self._add_replacement(runner)
+        runner.draining_headers = (b'1',)
 
-    def _ask_rest(self) -> None:
-        self._rest(self._any_runner())
+    def _start_back_off(self) -> None:
+        self._start_back_off_of(self._any_runner())
 
-    def _rest(self, runner: RunnerStandIn) -> None:
+    def _start_back_off_of(self, runner: RunnerStandIn) -> None:
         runner.faults = Faults(rejects=True)
-        runner.asks_rest = (self._rng.choice(RESTS),)
-
-    def _say_all(self) -> None:
-        runner = self._unsaid()
-        self._name_limit_of(runner)
-        self._rest(runner)
-        self._replacement(runner)
-        runner.says_leaving = (b'1',)
-
-    def _end_rests(self) -> None:
-        for runner in self.bed.runners.values():
-            if runner.asks_rest:
+        runner.back_off_headers = (self._rng.choice(BACK_OFF_HEADERS),)
+
+    def _report_all(self) -> None:
+        runner = self._runner_not_draining()
+        self._change_limit_of(runner)
+        self._start_back_off_of(runner)
+        self._add_replacement(runner)
+        runner.draining_headers = (b'1',)
+
+    def _end_back_offs(self) -> None:
+        for runner in self.bench.runners.values():
+            if runner.back_off_headers:
                 runner.faults = Faults()
 
     def _drain_one(self) -> None:
@@ -81,32 +85,32 @@
         An instance may miss what is written before it has read the new history, until the
         runner writes again, as real ones do each second.
         """
-        if trio.current_time() - self._back_at > STABLE_S:
+        if trio.current_time() - self._rolled_back_at > STORE_STABLE_S:
             super()._drain_one()
 
-    def _store_back(self) -> None:
+    def _roll_back_store(self) -> None:
         """Roll the store back to an older copy whose registrations show draining runners as ready."""
-        self._back_at = trio.current_time()
-        self.bed.store.go_back(self._rng.uniform(0, LONGEST_BACK_S))
-        for runner in self.bed.runners.values():
-            self.bed.store.put('keyed.servers', runner.key, runner.record)
+        self._rolled_back_at = trio.current_time()
+        self.bench.store.roll_back(self._rng.uniform(0, MAX_ROLLBACK_S))
+        for runner in self.bench.runners.values():
+            self.bench.store.put('keyed.servers', runner.key, runner.registration)
         self._excuse_unread_drains()
 
-    def _cut_peers(self) -> None:
-        first, second = self._rng.sample(list(self.bed.fronts.values()), 2)
-        self.bed.network.cut.add(frozenset((first.cfg.host, second.cfg.host)))
+    def _cut_peer_link(self) -> None:
+        first, second = self._rng.sample(list(self.bench.fronts.values()), 2)
+        self.bench.network.cut_pairs.add(frozenset((first.cfg.host, second.cfg.host)))
 
 
-async def play(seed: int) -> list[str]:
+async def run_seed(seed: int) -> list[str]:
     """Run one seed and return the violations."""
     rng = Random(seed)
     runners = [plain_runner(number) for number in range(1, 5)]
     runners += [engine(number, 'prefill' if number < 3 else 'decode') for number in range(1, 8)]
-    async with running_bed(configuration(), runners, fronts=FRONTS) as bench:
-        simulation = WordWorld(bench, rng)
-        await simulation.play()
-        return [*broken_promises(simulation), *simulation.over_limits(), *simulation.over_words()]
+    async with open_bench(configuration(), runners, fronts=FRONTS) as bench:
+        simulation = StatusFaultSimulation(bench, rng)
+        await simulation.run()
+        return [*find_violations(simulation), *simulation.limit_violations(), *simulation.status_violations()]
 
 
 if __name__ == '__main__':
-    main(play)
+    main(run_seed)
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from sesamepoint_standins.bed import Bed
+from sesamepoint_standins.deployment_bench import DeploymentBench
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.builders import configuration
 from tests.fuzz.oracle import broken_promises
@@ -72,7 +72,7 @@
 
 
 async def _run(program: tuple[tuple[str, int], ...], seed: int) -> list[str]:
-    async with Bed.open(configuration(size=SIZE), seed) as bed:
+    async with DeploymentBench.open(configuration(size=SIZE), seed) as bed:
         await trio.sleep(START_S)
         async with trio.open_nursery() as nursery:
             world = World(bed, nursery)
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from sesamepoint_core.answer.outcome import Answered, NotRun
-from sesamepoint_standins.engine_model import seed_of
+from sesamepoint_standins.engine_model import answer_seed
 from tests.virtual import expected_text
 
 if TYPE_CHECKING:
@@ -36,10 +36,10 @@
 def _runs(world: World) -> Iterator[str]:
     runs: Counter[int] = Counter()
     for engine in world.bed.engines.values():
-        runs.update(engine.runs_by_seed)
+        runs.update(engine.run_counts_by_seed)
     outcomes = defaultdict(set)
     for sent in world.sent:
-        seed = seed_of(sent.req.job.body)
+        seed = answer_seed(sent.req.job.body)
         outcomes[seed].add(sent.seen.outcome.tag if sent.seen else 'waits')
         if runs[seed] > 1 and not sent.req.repeatable:
             yield f'at most once: it ran {runs[seed]} times'
@@ -49,8 +49,8 @@
 
 def _engines(world: World) -> Iterator[str]:
     for name, engine in world.bed.engines.items():
-        if engine.cut_off_by_order:
-            yield f'no planned change cuts off: {name} dropped {engine.cut_off_by_order}'
+        if engine.dropped_by_order:
+            yield f'no planned change cuts off: {name} dropped {engine.dropped_by_order}'
         fences = [fence for _, fence in engine.orders]
         if fences != sorted(fences):
             yield f'lost authority: {name} got orders under {fences}'
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -9,7 +9,7 @@
 from sesamepoint_core.fold.records import ClaimLease, Order, SwitchPreset
 from sesamepoint_core.fold.verdict import Accepted
 from sesamepoint_core.registry import Registry
-from sesamepoint_standins.bed import Bed
+from sesamepoint_standins.deployment_bench import DeploymentBench
 from tests.builders import publish, runner
 from tests.virtual import Seen, body, call, request
 
@@ -43,7 +43,7 @@
 class World:
     """A bed, its callers, and what operators were told."""
 
-    def __init__(self, bed: Bed, nursery: trio.Nursery) -> None:
+    def __init__(self, bed: DeploymentBench, nursery: trio.Nursery) -> None:
         """Start with nothing sent."""
         self.bed = bed
         self.nursery = nursery
@@ -59,7 +59,7 @@
     async def operate(self, act: Callable[[Follower], Awaitable[None]], wait_s: float) -> None:
         """Let an operator act, for as long as one has patience."""
         with trio.move_on_after(wait_s):
-            async with self.bed.operator() as operator:
+            async with self.bed.operator_follower() as operator:
                 await act(operator)
 
     async def _send(self, number: int, req: CallerRequest, entry: str) -> None:
@@ -105,7 +105,7 @@
 async def pause_agent(world: World, number: int) -> None:
     """Pause an agent, or wake it up."""
     await trio.lowlevel.checkpoint()
-    gate = world.bed.agents[_runner(number)].gate
+    gate = world.bed.agents[_runner(number)].faults
     if gate.paused:
         gate.resume()
     else:
@@ -125,16 +125,16 @@
 async def mute(world: World, number: int) -> None:
     """Let the network lose track of all open connections to a runner."""
     await trio.lowlevel.checkpoint()
-    for (_, name), wire in world.bed.wires.items():
+    for (_, name), wire in world.bed.network_paths.items():
         if name == _runner(number):
-            wire.mute()
+            wire.kill_open_connections()
 
 
 @STEPS.register('cut')
 async def cut(world: World, number: int) -> None:
     """Cut an entry off from a runner, or join them again."""
     await trio.lowlevel.checkpoint()
-    wire = world.bed.wires.get((_entry(world, number // SIZE), _runner(number)))
+    wire = world.bed.network_paths.get((_entry(world, number // SIZE), _runner(number)))
     if wire is not None:
         wire.cut = not wire.cut
 
@@ -143,14 +143,14 @@
 async def log_away(world: World, number: int) -> None:
     """Take the log away, or bring it back."""
     await trio.lowlevel.checkpoint()
-    world.bed.log.faults.away = not world.bed.log.faults.away
+    world.bed.log.faults.unavailable = not world.bed.log.faults.unavailable
 
 
 @STEPS.register('lose_reply')
 async def lose_reply(world: World, number: int) -> None:
     """Lose the replies of the next appends, which take effect."""
     await trio.lowlevel.checkpoint()
-    world.bed.log.faults.lose_replies = 1 + number % 2
+    world.bed.log.faults.replies_to_lose = 1 + number % 2
 
 
 @STEPS.register('publish')
@@ -208,7 +208,7 @@
     """List a runner as leaving, or take it back."""
     await trio.lowlevel.checkpoint()
     address = world.bed.configuration['runners'][_runner(number)]['agent']
-    world.bed.instances.put(address, leaving=bool(number // SIZE % 2))
+    world.bed.instances.put(address, draining=bool(number // SIZE % 2))
 
 
 def _runner(number: int) -> str:
@@ -222,12 +222,12 @@
 
 async def heal(world: World) -> None:
     """Take all faults away and let everything settle."""
-    world.bed.log.faults.away = False
-    world.bed.log.faults.lose_replies = 0
-    for wire in world.bed.wires.values():
+    world.bed.log.faults.unavailable = False
+    world.bed.log.faults.replies_to_lose = 0
+    for wire in world.bed.network_paths.values():
         wire.cut = False
     for started in world.bed.agents.values():
-        started.gate.resume()
+        started.faults.resume()
     await trio.sleep(60)
 
 
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -13,7 +13,7 @@
 from sesamepoint_core.fold.snapshot import decode_snapshot
 from sesamepoint_core.fold.verdict import Accepted, Rejected
 from sesamepoint.single_error import single_error
-from sesamepoint_standins.bed import Bed
+from sesamepoint_standins.deployment_bench import DeploymentBench
 from tests.builders import configuration, publish, runner
 from tests.virtual import Calls, body, call, expected_text, request, settle, virtual
 
@@ -42,7 +42,7 @@
         # A role change is ordered while the engine is in mid-answer. The
         # engine drops all it runs when it changes, so the agent must let it
         # finish first: the caller gets its whole answer.
-        async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(size=1)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
@@ -60,7 +60,7 @@
         # The engine crashes in the middle of its change and comes back with
         # neither role. The agent finds out by asking, keeps it out of
         # service, and has the standing order carried out again.
-        async with Bed.open(configuration(size=2)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(size=2)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             await give_order(operator, 'verdict-1', 'prefill')
             await trio.sleep(2)
@@ -75,7 +75,7 @@
     async def test_order_agent_killed_in_change(self) -> None:
         # The agent dies between its order and the engine's change. Its
         # successor asks the engine what it really is and leaves it alone.
-        async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(size=1)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             await give_order(operator, 'verdict-1', 'prefill')
             await trio.sleep(2)
@@ -91,7 +91,7 @@
         # An agent is killed in mid-answer and the engine runs on. Its
         # successor, which knows nothing of the run, gets an order. What the
         # engine runs must end first: it may be a booking that takes effect.
-        async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(size=1)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
@@ -103,14 +103,14 @@
                 await give_order(operator, 'verdict-1', 'prefill')
                 await settle(2 * LEASE_S)
             engine = bed.engines['verdict-1']
-            self.assertEqual((engine.role, engine.cut_off_by_order), ('prefill', 0))
+            self.assertEqual((engine.role, engine.dropped_by_order), ('prefill', 0))
 
     @virtual
     async def test_order_of_woken_leader(self) -> None:
         # The leader is paused, another process takes the lease and orders.
         # The first wakes up still believing, and appends. Its order is void:
         # the engine only ever sees the other's.
-        async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(size=1)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             deposed = operator.state.leases[FLEET]
             await give_order(operator, 'verdict-1', 'prefill')
@@ -126,15 +126,15 @@
         # which ignores fencing numbers. A successor claims the slot. Woken
         # up, the old one sees that it lost the slot and takes no more work.
         lax = {'verdict-1': runner(0, checks_fencing=False)}
-        async with Bed.open(configuration(runners=lax)) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration(runners=lax)) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             old = bed.agents['verdict-1']
-            old.gate.paused = True
+            old.faults.paused = True
             bed.start_agent('verdict-1')
             await settle()
             await give_order(operator, 'verdict-1', 'prefill')
             await settle(LEASE_S)
-            old.gate.resume()
+            old.faults.resume()
             await settle(LEASE_S)
             self.assertTrue(old.agent.leaving)
             self.assertEqual([role for role, _ in bed.engines['verdict-1'].orders], ['prefill'])
@@ -147,7 +147,7 @@
     async def test_drain_by_configuration(self) -> None:
         # A runner is drained by publishing. What it runs is finished, and
         # a few seconds later no new work goes there.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
@@ -157,21 +157,21 @@
                 drained = {**configuration()['runners'], 'verdict-1': runner(0, draining=True)}
                 await bed.publish(configuration(runners=drained))
                 await trio.sleep(1)
-                before = len(bed.engines['verdict-1'].runs)
+                before = len(bed.engines['verdict-1'].run_counts)
                 for number in range(8, 16):
                     calls.send(request(body=body(number)))
-            self.assertEqual(len(bed.engines['verdict-1'].runs), before)
+            self.assertEqual(len(bed.engines['verdict-1'].run_counts), before)
             self.assertTrue(all(seen.text == expected_text(req) for req, seen in calls.seen))
 
     @virtual
     async def test_publish_reaches_process_cut_off_from_log(self) -> None:
         # One entry cannot reach the log. It hears of the new version from
         # the agents, on the signs of life that it asks for anyway.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
-            bed.entries['entry-2'].gate.cut_from_log = True
+            bed.entries['entry-2'].faults.cut_from_log = True
             await settle()
-            async with bed.operator() as operator:
+            async with bed.operator_follower() as operator:
                 await operator.submit(SwitchPreset(operator.state.version, 'asha', 'peak'))
             await settle(4)
             follower = bed.entries['entry-2'].entry.follower
@@ -181,8 +181,8 @@
     async def test_publish_reply_lost(self) -> None:
         # The operator's append takes effect and its reply is lost. The tool
         # reads back, and the change counts once.
-        async with Bed.open(configuration()) as bed, bed.operator() as operator:
-            bed.log.faults.lose_replies = 1
+        async with DeploymentBench.open(configuration()) as bed, bed.operator_follower() as operator:
+            bed.log.faults.replies_to_lose = 1
             verdict = await operator.submit(publish(operator.state.version))
             self.assertIsInstance(verdict, Accepted)
             self.assertEqual(operator.state.version, 2)
@@ -192,18 +192,18 @@
         # One process appends two records at once, and the log refuses the
         # first. Appended again behind the second, it would look like a
         # repeat and be dropped: a report of an order done, say, for ever.
-        async with Bed.open(configuration()) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration()) as bed, bed.operator_follower() as operator:
             await settle()
             verdicts: list[Verdict] = []
 
             async def claim(name: str) -> None:
                 verdicts.append(await operator.submit(ClaimLease(name, operator.writer, -1)))
 
-            bed.log.faults.away = True
+            bed.log.faults.unavailable = True
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(claim, 'first')
                 await trio.sleep(0.01)
-                bed.log.faults.away = False
+                bed.log.faults.unavailable = False
                 nursery.start_soon(claim, 'second')
             self.assertEqual([type(verdict) for verdict in verdicts], [Accepted, Accepted])
 
@@ -211,7 +211,7 @@
     async def test_join_after_trimming(self) -> None:
         # All records that the newest snapshot covers were trimmed. A process that starts now
         # takes the snapshot and folds the tail; the version is what it was.
-        async with Bed.open(configuration()) as bed, bed.operator() as operator:
+        async with DeploymentBench.open(configuration()) as bed, bed.operator_follower() as operator:
             await settle(LEASE_S)
             page = await bed.log.read('snapshots.boat-bazaar', 0, 0)
             covered = decode_snapshot(page.records[-1].payload).state.offset
@@ -225,25 +225,25 @@
     async def test_join_with_history_lost(self) -> None:
         # Records were trimmed and no snapshot covers them. A process that
         # starts now must not guess: it serves nothing and says the remedy.
-        async with Bed.open(configuration(), entries=0) as bed:
+        async with DeploymentBench.open(configuration(), entries=0) as bed:
             await settle()
             bed.log.trim('control.boat-bazaar', 1)
             with self.assertRaisesRegex(HistoryLostError, 'no snapshot covers it'), single_error():
-                async with bed.operator():
+                async with bed.operator_follower():
                     await settle()
 
     @virtual
     async def test_serve_through_log_outage(self) -> None:
         # The log is away for ten minutes. Requests are answered as before,
         # under the last configuration; afterwards changes work again.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle(LEASE_S)
-            bed.log.faults.away = True
+            bed.log.faults.unavailable = True
             for number in range(10):
                 seen = await call(bed, request(body=body(number)))
                 self.assertIsInstance(seen.outcome, Answered)
                 await settle(60)
-            bed.log.faults.away = False
+            bed.log.faults.unavailable = False
             await settle()
             await bed.publish(configuration())
             await settle(1)
@@ -258,7 +258,7 @@
     async def test_rolling_restart_under_load(self) -> None:
         # Every agent and entry is stopped gracefully and replaced, one by
         # one, under load. No caller notices anything.
-        async with Bed.open(configuration(size=3)) as bed:
+        async with DeploymentBench.open(configuration(size=3)) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
--- a/tests/runtime/test_fleets.py
+++ b/tests/runtime/test_fleets.py
@@ -8,7 +8,7 @@
 
 from sesamepoint_core.route.subset import SUBSET
 from sesamepoint.entry.fleets import Fleets
-from sesamepoint_standins.bed import Bed
+from sesamepoint_standins.deployment_bench import DeploymentBench
 from tests.builders import configuration
 from tests.virtual import Calls, body, request, settle, virtual
 
@@ -24,7 +24,7 @@
         # The part that follows the configuration fails and is restarted. The
         # tasks that beat ended with it; left as they were, the views would
         # look alive for ever, and a lost runner would go on getting work.
-        async with Bed.open(configuration(size=2), entries=1) as bed:
+        async with DeploymentBench.open(configuration(size=2), entries=1) as bed:
             await settle()
             fleets = bed.entries['entry-1'].entry.fleets
             with mock.patch.object(Fleets, '_adapt', side_effect=ValueError('broken')):
@@ -40,7 +40,7 @@
         # Each entry beats with a few agents only, so no agent hears all of
         # them. The planner must still see all the work that was asked for,
         # or it would plan for a part of it.
-        async with Bed.open(configuration(size=SIZE), entries=3) as bed:
+        async with DeploymentBench.open(configuration(size=SIZE), entries=3) as bed:
             await settle(LEASE_S)
             leaders = [name for name, started in bed.entries.items() if len(started.entry.fleets.views) == SIZE]
             known = sorted(len(started.entry.fleets.views) for started in bed.entries.values())
--- a/tests/runtime/test_stop.py
+++ b/tests/runtime/test_graceful_stop.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from sesamepoint.process.stop import run_until_stopped
+from sesamepoint.process.graceful_stop import run_until_stopped
 
 
 class StopTest(TestCase):
--- a/tests/runtime/test_keys.py
+++ b/tests/runtime/test_keys.py
@@ -7,7 +7,7 @@
 import trio
 
 from sesamepoint_core.answer.outcome import Answered, NotRun, Unknown
-from sesamepoint_standins.bed import Bed
+from sesamepoint_standins.deployment_bench import DeploymentBench
 from tests.builders import configuration
 from tests.runtime.test_attempt import runs
 from tests.virtual import Calls, body, call, expected_text, replace_all_agents, request, settle, virtual
@@ -22,7 +22,7 @@
     async def test_same_key_again_at_another_entry(self) -> None:
         # The caller saw no confirmation and sends its key again; the
         # balancer picks another entry. It gets the kept answer, not a run.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             first = await call(bed, BOOKING, 'entry-1')
             second = await call(bed, BOOKING, 'entry-2')
@@ -33,7 +33,7 @@
     async def test_same_key_at_once(self) -> None:
         # Two entries get the key in the same moment. One runs it; the other
         # waits for that run and hands out the same answer.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
@@ -47,7 +47,7 @@
     async def test_caller_gone_and_back(self) -> None:
         # The caller's connection breaks in mid-run. The run goes on, and
         # the key, sent again, brings its answer.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             req = BOOKING._replace(job=BOOKING.job._replace(output_tokens=400))
             with trio.move_on_after(1):
@@ -60,7 +60,7 @@
         # The caller hangs up and its entry is stopped as planned, with the
         # run still under way. The stop waits for it, and the key, sent to
         # another entry, brings the whole answer.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             req = BOOKING._replace(job=BOOKING.job._replace(output_tokens=400))
             with trio.move_on_after(1):
@@ -74,7 +74,7 @@
         # Every agent is replaced, and with them the kept answers. The claim
         # is on the log: the key must not run again, and since nobody knows
         # how the run ended, the truth is "unknown".
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             await call(bed, BOOKING)
             replace_all_agents(bed)
@@ -88,13 +88,13 @@
         # The log is away: no claim can be made, so nothing runs, and the
         # caller learns it within seconds. When the log is back the same key
         # runs once.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
-            bed.log.faults.away = True
+            bed.log.faults.unavailable = True
             refused = await call(bed, BOOKING)
             self.assertIsInstance(refused.outcome, NotRun)
             self.assertLess(refused.took_s, 5)
-            bed.log.faults.away = False
+            bed.log.faults.unavailable = False
             await settle()
             seen = await call(bed, BOOKING)
             self.assertIsInstance(seen.outcome, Answered)
@@ -104,15 +104,15 @@
     async def test_claim_reply_lost(self) -> None:
         # The append of the claim takes effect and its reply is lost. Reading
         # back shows the claim, and the request runs without a second one.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
-            bed.log.faults.lose_replies = 1
+            bed.log.faults.replies_to_lose = 1
             self.assertEqual((await call(bed, BOOKING)).text, expected_text(BOOKING))
             self.assertEqual(runs(bed), 1)
 
     @virtual
     async def test_key_for_another_request(self) -> None:
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
             await call(bed, BOOKING)
             other = request(body=body(8), key='fitting-7', repeatable=False)
@@ -125,10 +125,10 @@
         # Each entry is cut off from another agent, so they ask two homes for
         # the same key at once. Both homes append a claim; the log's order
         # lets one run, and the other caller is told that it is not known.
-        async with Bed.open(configuration()) as bed:
+        async with DeploymentBench.open(configuration()) as bed:
             await settle()
-            bed.wires['entry-1', 'verdict-1'].cut = True
-            bed.wires['entry-2', 'verdict-2'].cut = True
+            bed.network_paths['entry-1', 'verdict-1'].cut = True
+            bed.network_paths['entry-2', 'verdict-2'].cut = True
             await settle()
             async with trio.open_nursery() as nursery:
                 calls = Calls(bed, nursery)
--- a/tests/runtime/test_log_output.py
+++ b/tests/runtime/test_log_output.py
@@ -6,7 +6,7 @@
 import os
 from unittest import TestCase
 
-from sesamepoint.log_output import BURST_LINES, NonBlockingOutput, RateLimit
+from sesamepoint.log_output import BURST_LINES, LogRateLimit, NonBlockingOutput
 
 LINE = f'{"x" * 1000}\n'
 
@@ -45,14 +45,14 @@
     """More decisions than lines."""
 
     def test_burst_bounded(self) -> None:
-        limit = RateLimit()
+        limit = LogRateLimit()
         passed = sum(limit.filter(_record(logging.INFO)) for _ in range(5 * int(BURST_LINES)))
         self.assertLess(passed, 2 * BURST_LINES)
         self.assertGreater(limit.suppressed, 0)
 
     def test_warnings_pass(self) -> None:
         """A warning passes in any burst, and tells how many lines were left out."""
-        limit = RateLimit()
+        limit = LogRateLimit()
         for _ in range(5 * int(BURST_LINES)):
             limit.filter(_record(logging.INFO))
         warning = _record(logging.WARNING)
--- a/tests/standins/test_web.py
+++ b/tests/standins/test_asgi_apps.py
@@ -7,8 +7,8 @@
 
 import trio
 
+from sesamepoint_standins.asgi_apps import EngineApp
 from sesamepoint_standins.engine import Engine
-from sesamepoint_standins.web import EngineApp
 
 
 def post(app: EngineApp, path: str, body: bytes) -> int:
--- a/tests/standins/test_virtual_time.py
+++ b/tests/standins/test_virtual_time.py
@@ -8,7 +8,7 @@
 from sesamectl.experiment.run import run_trial
 
 
-class RepeatTest(TestCase):
+class DeterminismTest(TestCase):
     """Runs with the same seed."""
 
     def test_trial_repeats(self) -> None:
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -10,18 +10,18 @@
 
 from sesamepoint.entry.request import CallerRequest
 from sesamepoint.link.messages import Job
-from sesamepoint_standins.engine_model import answer_text, seed_of
-from sesamepoint_standins.virtual_time import quiet_logs, run_virtual
+from sesamepoint_standins.engine_model import answer_seed, answer_text
+from sesamepoint_standins.virtual_time import disable_logging, run_virtual
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
     from sesamepoint_core.answer.outcome import Outcome
-    from sesamepoint_standins.bed import Bed
+    from sesamepoint_standins.deployment_bench import DeploymentBench
 
 SETTLE_S = 5.0
 
-quiet_logs()
+disable_logging()
 
 
 def virtual(test: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
@@ -76,10 +76,10 @@
 
 def expected_text(req: CallerRequest) -> str:
     """Return the whole answer that a stand-in engine gives."""
-    return answer_text(seed_of(req.job.body), 0, req.job.output_tokens)
+    return answer_text(answer_seed(req.job.body), 0, req.job.output_tokens)
 
 
-async def call(bed: Bed, req: CallerRequest, entry: str = 'entry-1') -> Seen:
+async def call(bed: DeploymentBench, req: CallerRequest, entry: str = 'entry-1') -> Seen:
     """Send a request and note what comes back."""
     chunks: list[bytes] = []
 
@@ -94,7 +94,7 @@
 class Calls:
     """Calls that run side by side."""
 
-    def __init__(self, bed: Bed, nursery: trio.Nursery) -> None:
+    def __init__(self, bed: DeploymentBench, nursery: trio.Nursery) -> None:
         """Send to ``bed`` from tasks in ``nursery``."""
         self.seen: list[tuple[CallerRequest, Seen]] = []
         self._bed = bed
@@ -108,7 +108,7 @@
         self.seen.append((req, await call(self._bed, req, entry)))
 
 
-def replace_all_agents(bed: Bed) -> None:
+def replace_all_agents(bed: DeploymentBench) -> None:
     """Kill every agent and start its successor at once."""
     for runner in tuple(bed.agents):
         bed.agents[runner].scope.cancel()
