--- a/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
@@ -60,8 +60,8 @@
     """A named set of runners that can stand in for each other.
 
     ``roles`` is what a runner starts as; ``floors`` is how many of a role
-    must stay; ``models`` are the names that callers ask for; ``plan`` is
-    there for fleets of engines.
+    must stay; ``models`` are the names that callers ask for; ``engine`` is
+    present for fleets of engines.
     """
 
     kind: FleetKind
--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/lease.py
@@ -36,7 +36,7 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The record of a lease; ``prefix_source`` is empty if the lease was released."""
+    """The record of a lease; ``holder`` is empty if the lease was released."""
 
     holder: str
     fence: int
@@ -89,7 +89,7 @@
         return self.fence is not None and now < self._sent_at + HOLD_S
 
     def on_read(self, view: LogView, now: float) -> None:
-        """Process a read of the log that ended at ``for_job``."""
+        """Process a read of the log that ended at ``now``."""
         before = self._view
         if before is not None and view.epoch != before.epoch:
             # Another instance must see the newest record unchanged for this long before it claims.
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
@@ -82,7 +82,7 @@
         self._at = now
 
     def read(self, now: float, horizon_s: float) -> Demand:
-        """Return the demand per second as of ``for_job``."""
+        """Return the demand per second as of ``now``."""
         return self._rate.times(math.exp((self._at - now) / horizon_s))
 
 
@@ -101,7 +101,7 @@
         long.add(now, work, horizon_s)
 
     def read(self, now: float, horizon_s: float) -> Offered:
-        """Return the demand per second as of ``for_job``."""
+        """Return the demand per second as of ``now``."""
         short_s = horizon_s * SHORT_SHARE
         return Offered(
             self._main[0].read(now, short_s),
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
@@ -16,7 +16,7 @@
 
 
 def subset(entry: str, runners: Sequence[str]) -> tuple[str, ...]:
-    """Return the runners of one fleet that ``instance`` knows.
+    """Return the runners of one fleet that ``entry`` knows.
 
     A small fleet is known whole. Of a large one each entry ranks all runners
     by a hash of both names and takes the first few: every runner is then
@@ -30,7 +30,7 @@
 
 
 def is_known(entry: str, runner: str, fleet_size: int, known: int) -> bool:
-    """Tell whether ``instance`` knows ``runner``: all of a fleet of ``known``, else about so many.
+    """Tell whether ``entry`` knows ``runner``: all of a fleet of ``known``, else about so many.
 
     Unlike :func:`subset` this needs no list of the fleet, so that each entry
     can tell of any other what it knows.
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/messages.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/messages.py
@@ -30,13 +30,13 @@
 
     @classmethod
     def of(cls, reported: ReportedLimit, now: float) -> LimitUpdate:
-        """Return the form in which a reported limit is sent at ``for_job``."""
+        """Return the form in which a reported limit is sent at ``now``."""
         rate = min(reported.rate, MAX_RATE)
         age_s = min(max(now - reported.changed_at, 0), MAX_AGE_S)
         return cls(reported.origin, rate, age_s, reported.ended_at is not None)
 
     def to_reported(self, now: float) -> ReportedLimit:
-        """Return the reported limit by the clock of the recipient, which receives this at ``for_job``."""
+        """Return the reported limit by the clock of the recipient, which receives this at ``now``."""
         at = now - self.age_s
         return ReportedLimit(self.origin, self.rate, at, at if self.ended else None)
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/token_bucket.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/token_bucket.py
@@ -22,7 +22,7 @@
         self._issued_at: deque[float] = deque()
 
     def update_rate(self, rate: float, max_age_s: float, now: float) -> None:
-        """Issue ``speed_meters`` permits a second from ``for_job`` on, and set the maximum age of permits in seconds."""
+        """Issue ``rate`` permits a second from ``now`` on, and set the maximum age of permits in seconds."""
         self._advance(now)
         self._rate = rate
         self._max_age_s = max_age_s
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_status/status_headers.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_status/status_headers.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class RateLimit:
-    """The runner accepts ``speed_meters`` requests a second from all instances together."""
+    """The runner accepts ``rate`` requests a second from all instances together."""
 
     rate: float
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
@@ -266,7 +266,7 @@
 
 
 def _cheapest_decode_step(decoders: Mapping[str, _Decoder], prefill_zone: str, in_zone_s: float) -> DecodeStep:
-    """Return the cheapest decode step for KV cache in ``prefill_zone``, with its transfer time within the zone given."""
+    """Return the cheapest decode step for KV cache in ``prefill_zone``; transfers within a zone take ``in_zone_s``."""
     return min(
         _decode_step(decoder, in_zone_s if decode_zone == prefill_zone else CROSS_ZONE_FACTOR * in_zone_s)
         for decode_zone, decoder in decoders.items()
@@ -285,7 +285,7 @@
 
 
 def _late_cost_s(first_s: float, speeds: Speeds) -> float:
-    """Return the expected cost of a missed deadline if the first token comes after ``first_byte_s``."""
+    """Return the expected cost of a missed deadline if the first token comes after ``first_s``."""
     if speeds.on_time_s <= 0:
         return 0
     probability = (first_s / speeds.on_time_s - ON_TIME_SHARE) / (1 - ON_TIME_SHARE)
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/routes.py
@@ -110,7 +110,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of the operator's configuration; ``account_limits`` is None if requests need no key."""
+    """One version of the operator's configuration; ``accounts`` is None if requests need no key."""
 
     version: int
     routes: dict[str, tuple[Route, ...]]
@@ -135,7 +135,7 @@
         return cls(version, index, {service.name: service for service in services}, limits, accounts)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix of ``placement``, or None."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or None."""
         for route in self.routes.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/runner.py
@@ -18,7 +18,7 @@
 
 
 class Stage(Enum):
-    """What an engine does: prefill only, or decode too; ``plain_runner`` runners are no engines."""
+    """What an engine does: prefill only, or decode too; ``plain`` runners are no engines."""
 
     prefill = 'prefill'
     decode = 'decode'
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/speed_meters.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/speed_meters.py
@@ -57,7 +57,7 @@
     pair_s: float = INITIAL_PAIR_S
 
     def prefill_s(self, fresh_tokens: int, prompt_tokens: int) -> float:
-        """Return the seconds to prefill the last ``uncached_tokens`` of a prompt."""
+        """Return the seconds to prefill the last ``fresh_tokens`` of a prompt."""
         return fresh_tokens * self.token_s + _pairs(fresh_tokens, prompt_tokens) * self.pair_s
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/validation_errors.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/validation_errors.py
@@ -24,7 +24,7 @@
 
 
 def describe_errors(exc: ValidationError) -> Iterator[str]:
-    """Yield a line ``placement: problem; remedy`` for each error."""
+    """Yield a line ``path: problem; remedy`` for each error."""
     for error in exc.errors():
         path = '.'.join(str(part) for part in error['loc']) or 'document'
         yield f'{path}: {_found(error)}; {_REMEDIES.get(error["type"], "change it")}'
--- a/packages/sesamepoint/src/sesamepoint/front/duty_log.py
+++ b/packages/sesamepoint/src/sesamepoint/front/duty_log.py
@@ -83,7 +83,7 @@
             return AppendOutcome.taken
 
     def _note_store_state(self, cause: str) -> None:
-        """Log a failure of the store, once until it answers again; an empty ``failure_cause`` is an answer."""
+        """Log a failure of the store, once until it answers again; an empty ``cause`` is an answer."""
         if cause and not self._failing:
             events.log_event(events.DUTY_STORE_FAILED, cause=cause)
         self._failing = bool(cause)
--- a/packages/sesamepoint/src/sesamepoint/front/eligibility.py
+++ b/packages/sesamepoint/src/sesamepoint/front/eligibility.py
@@ -27,7 +27,7 @@
     """Finds the runners that a request may be sent to."""
 
     def __init__(self, subset: EngineSubset, limits: RunnerLimits) -> None:
-        """Use the runners of an instance's subset, with their rate ``input_limits``."""
+        """Use the runners of an instance's subset, with their rate ``limits``."""
         self._subset = subset
         self._limits = limits
 
@@ -41,7 +41,7 @@
         return [member for member in self.healthy(job) if _can_decode(member) and self.admits(member, job)]
 
     def admits(self, member: Member, job: Job) -> bool:
-        """Tell whether ``fleet_member`` admits ``job`` now, by its back-off and its rate limit."""
+        """Tell whether ``member`` admits ``job`` now, by its back-off and its rate limit."""
         return member.accepts_more and self._limits.admits(member, job)
 
     def for_job(self, job: Job) -> list[Member]:
@@ -52,7 +52,7 @@
         return admitted
 
     def permit_wait_s(self, member: Member, job: Job) -> float:
-        """Return the seconds until ``fleet_member`` has a permit for ``job``; infinite if its back-off forbids more."""
+        """Return the seconds until ``member`` has a permit for ``job``; infinite if its back-off forbids more."""
         return self._limits.permit_wait_s(member, job) if member.accepts_more else math.inf
 
     def healthy(self, job: Job) -> list[Member]:
--- a/packages/sesamepoint/src/sesamepoint/front/engine_queue.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_queue.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, selector: RunnerSelector, sends: SendTracker, rng: Random) -> None:
-        """Plan each request by runner selection, and report the queue to peers through ``engine_sends``."""
+        """Plan each request by runner selection, and report the queue to peers through ``sends``."""
         self._selector = selector
         self._sends = sends
         self._rng = rng
@@ -61,7 +61,7 @@
         self._nonempty = trio.Event()
 
     def must_queue(self, job: Job, plan: EnginePlan) -> bool:
-        """Tell whether a request that arrives now with ``wait_for_plan`` has to wait.
+        """Tell whether a request that arrives now with ``plan`` has to wait.
 
         It has to even if its prefill engine is free, when requests that can be
         on time are already queued for prefill engines.
@@ -189,7 +189,7 @@
         return released
 
     def _try_release(self, waiter: Waiter) -> bool:
-        """Release ``new_waiter`` with a new plan if its engine is free or no engine can run it; return whether it was."""
+        """Release ``waiter`` with a new plan if its engine is free or no engine can run it; return whether it was."""
         plan = self._selector.plan(waiter.job, waiter.prompt, waiter.cfg)
         waiter.plan = plan
         if plan is not None:
--- a/packages/sesamepoint/src/sesamepoint/front/engine_sends.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_sends.py
@@ -63,7 +63,7 @@
 
 
 class SendEnd(NamedTuple):
-    """Announcement that the prefill of a send has ended, or the whole send if ``end_stream``.
+    """Announcement that the prefill of a send has ended, or the whole send if ``finished``.
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
 
 
 class NewLoad(NamedTuple):
-    """Load that a send adds to a member; the fields are those of :class:`SendCall`."""
+    """Load that a send adds to a member; the fields are those of :class:`Send`."""
 
     member: Member
     prefill_s: float
--- a/packages/sesamepoint/src/sesamepoint/front/http_handler.py
+++ b/packages/sesamepoint/src/sesamepoint/front/http_handler.py
@@ -29,7 +29,7 @@
     """Serves the connections of callers and supports a graceful stop."""
 
     def __init__(self, dispatcher: Dispatcher, limits: Callable[[], ServerLimits]) -> None:
-        """Pass requests to ``dispatcher``; ``input_limits`` is called for each new connection."""
+        """Pass requests to ``dispatcher``; ``limits`` is called for each new connection."""
         self.stopping = False
         self.active = 0
         # Time on trio's clock; once it is set, a request is accepted only if its
--- a/packages/sesamepoint/src/sesamepoint/front/instance_registration.py
+++ b/packages/sesamepoint/src/sesamepoint/front/instance_registration.py
@@ -57,7 +57,7 @@
             self._note_dropped()
 
     def check_record(self, record: KeyedRecord) -> None:
-        """Register again if ``registration`` removes this instance."""
+        """Register again if ``record`` removes this instance."""
         if record.key == self._name and not record.text:
             self._note_dropped()
 
--- a/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
@@ -52,7 +52,7 @@
     """Serves the configuration in force to peers, and fetches newer ones from them."""
 
     def __init__(self, intake: TopicSync, peers: Peers, network: Network, rng: Random) -> None:
-        """Serve the configuration that ``topic_sync`` has in force, and pass newer ones of ``peers`` to it."""
+        """Serve the configuration that ``intake`` has in force, and pass newer ones of ``peers`` to it."""
         self._intake = intake
         self._peers = peers
         self._network = network
--- a/packages/sesamepoint/src/sesamepoint/front/peer_network.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_network.py
@@ -38,7 +38,7 @@
     """Datagrams over one UDP socket; datagrams sent before it is bound are dropped."""
 
     def __init__(self, pacer: LinkPacer) -> None:
-        """Create an unbound network; ``token_bucket`` keeps broadcasts from filling the link."""
+        """Create an unbound network; ``pacer`` keeps broadcasts from filling the link."""
         self._pacer = pacer
         self._sock: trio.socket.SocketType | None = None
 
--- a/packages/sesamepoint/src/sesamepoint/front/peers.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peers.py
@@ -108,7 +108,7 @@
         return len(self._addresses.keys() | {self._cfg.name})
 
     def replace_all(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Replace the list of instances by ``record_queue``."""
+        """Replace the list of instances by ``records``."""
         for name in self._addresses.keys() - {record.key for record in records}:
             self.update(KeyedRecord(name, b''))
         for record in records:
@@ -204,7 +204,7 @@
         return self._addresses.get(peer)
 
     async def send_to(self, names: Sequence[str], message: PeerMessage) -> None:
-        """Send a message to the peers called ``wire_names``."""
+        """Send a message to the peers called ``names``."""
         datagram = msgspec.msgpack.encode(message)
         for name in names:
             await self._send(datagram, name)
--- a/packages/sesamepoint/src/sesamepoint/front/permit_queue.py
+++ b/packages/sesamepoint/src/sesamepoint/front/permit_queue.py
@@ -136,7 +136,7 @@
             job.trace.queued_s += trio.current_time() - began
 
     def requested_permits(self, member: Member, queued_elsewhere: Iterable[Job], available: int) -> Demand:
-        """Return how many permits to request for ``fleet_member``, and the rank of the first request that needs one.
+        """Return how many permits to request for ``member``, and the rank of the first request that needs one.
 
         Counted are the requests queued here and those that wait for a prefill
         engine, less the permits that are available.
--- a/packages/sesamepoint/src/sesamepoint/front/polling_turns.py
+++ b/packages/sesamepoint/src/sesamepoint/front/polling_turns.py
@@ -125,7 +125,7 @@
         self.due = now + retry_s
 
     def note_update(self, sender: str, start: int, end: int, now: float) -> bool:
-        """Note an update from a peer that polled from ``incarnation`` up to ``end``.
+        """Note an update from a peer that polled from ``start`` up to ``end``.
 
         Return whether the update follows on the offset that is known here. An
         update that arrives late, after a freeze or over a slow path, ends before
--- a/packages/sesamepoint/src/sesamepoint/front/prefill.py
+++ b/packages/sesamepoint/src/sesamepoint/front/prefill.py
@@ -67,7 +67,7 @@
 
 
 async def prefill(req: FrontRequest, target: Target, reply: Reply) -> Prefilled | PrefillFailed | Withheld:
-    """Send the prompt of ``req`` to ``owner`` for prefill, if the caller of ``reply`` is still connected."""
+    """Send the prompt of ``req`` to ``target`` for prefill, if the caller of ``reply`` is still connected."""
     member = target.member
     ticket = member.health.note_sent(trio.current_time())
     member.in_flight += 1
--- a/packages/sesamepoint/src/sesamepoint/front/queue_triage.py
+++ b/packages/sesamepoint/src/sesamepoint/front/queue_triage.py
@@ -41,10 +41,10 @@
 
 
 class Waiter:
-    """One waiting request; ``wait_for_plan`` is final once the request is released or refused."""
+    """One waiting request; ``plan`` is final once the request is released or refused."""
 
     def __init__(self, job: Job, prompt: Prompt, cfg: Configuration, plan: EnginePlan) -> None:
-        """Wait because the engines of ``wait_for_plan`` are too busy."""
+        """Wait because the engines of ``plan`` are too busy."""
         self.job = job
         self.prompt = prompt
         self.cfg = cfg
@@ -214,12 +214,12 @@
 
 
 def engines_busy(plan: EnginePlan) -> bool:
-    """Tell whether the engines of ``wait_for_plan`` are too busy for it, or have no permit."""
+    """Tell whether the engines of ``plan`` are too busy for it, or have no permit."""
     return plan.view.wait_s > MAX_ENGINE_BACKLOG_S or plan.decode_full or not plan.admitted
 
 
 def queue_key_of(job: Job, plan: EnginePlan) -> QueueKey:
-    """Return the queue in which ``job`` waits for the engines of ``wait_for_plan``."""
+    """Return the queue in which ``job`` waits for the engines of ``plan``."""
     if plan.decode_full:
         return QueueKey(job.service, Need.slot)
     return QueueKey(job.service, Need.decode if plan.prefill is None else Need.prefill)
--- a/packages/sesamepoint/src/sesamepoint/front/request.py
+++ b/packages/sesamepoint/src/sesamepoint/front/request.py
@@ -40,7 +40,7 @@
     key: PresentedKey = PresentedKey()
 
     def left_s(self, now: float) -> float | None:
-        """Return the seconds from ``for_job`` until the deadline of the caller; None if unknown."""
+        """Return the seconds from ``now`` until the deadline of the caller; None if unknown."""
         return None if self.deadline_s is None else self.arrived_at + self.deadline_s - now
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/retries.py
+++ b/packages/sesamepoint/src/sesamepoint/front/retries.py
@@ -44,7 +44,7 @@
 
 
 def target_for(job: Job, member: Member, expected_s: float) -> Target:
-    """Return ``fleet_member`` as the target of the next attempt.
+    """Return ``member`` as the target of the next attempt.
 
     There is no silence timeout if no further attempt is allowed, because a
     silent runner may still be at work.
@@ -61,7 +61,7 @@
 
 
 async def run_attempt(job: Job, target: Target) -> AttemptResult:
-    """Send ``job`` to ``owner`` and record the outcome."""
+    """Send ``job`` to ``target`` and record the outcome."""
     member = target.member
     job.tried_runners[member.runner.key] = member.incarnation
     job.sends += 1
@@ -102,7 +102,7 @@
 
 
 def note_prefill_failure(job: Job, member: Member, failure: PrefillFailed, started: float) -> None:
-    """Record that a remote prefill at ``fleet_member`` failed."""
+    """Record that a remote prefill at ``member`` failed."""
     events.log_event(
         events.PREFILL_FAILED,
         cause=failure.cause,
@@ -119,7 +119,7 @@
 
 
 def note_failure(member: Member, cause: str, *, answered: bool = False) -> None:
-    """Count a failure of ``fleet_member``, which may eject it for a time."""
+    """Count a failure of ``member``, which may eject it for a time."""
     if member.health.note_failure(trio.current_time(), answered=answered):
         events.log_event(events.RUNNER_EJECTED, runner=member.runner.key, cause=cause)
 
--- a/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_limits.py
@@ -59,11 +59,11 @@
         return self._active(incarnation) is not None
 
     def admits(self, member: Member, job: Job) -> bool:
-        """Return whether the limit lets ``job`` be sent to ``fleet_member`` now."""
+        """Return whether the limit lets ``job`` be sent to ``member`` now."""
         return member.in_flight < self.max_in_flight(member) and self.has_permit(member.incarnation, job)
 
     def max_in_flight(self, member: Member) -> float:
-        """Return how many requests may be in flight at ``fleet_member``; bounded until it answers or has a known limit."""
+        """Return how many requests may be in flight at ``member``; bounded until it answers or has a known limit."""
         if member.answered or self.limited(member.incarnation):
             return math.inf
         return FIRST_IN_FLIGHT
@@ -74,7 +74,7 @@
         return limit is None or incarnation in job.access.permits or limit.available(trio.current_time()) > 0
 
     def reserve_if_limited(self, member: Member, job: Job) -> bool:
-        """Reserve a permit if ``job`` needs one for ``fleet_member``; return whether it may be sent."""
+        """Reserve a permit if ``job`` needs one for ``member``; return whether it may be sent."""
         incarnation = member.incarnation
         if incarnation in job.access.permits or self._active(incarnation) is None:
             return True
@@ -119,7 +119,7 @@
         return 1 / rate if rate else 0
 
     def permit_wait_s(self, member: Member, job: Job) -> float:
-        """Return how many seconds ``job`` can expect to wait for a permit for ``fleet_member``."""
+        """Return how many seconds ``job`` can expect to wait for a permit for ``member``."""
         if self.admits(member, job):
             return 0
         rate = self.expected_rate(member.incarnation, job.priority)
--- a/packages/sesamepoint/src/sesamepoint/front/runner_status.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_status.py
@@ -39,7 +39,7 @@
     """Keeps the status of each incarnation of a runner up to date from status headers."""
 
     def __init__(self, limits: RunnerLimits) -> None:
-        """Start without any status; rate limits are kept by ``input_limits``."""
+        """Start without any status; rate limits are kept by ``limits``."""
         self.limits = limits
         # Called when an incarnation reports in an answer that it is draining.
         self.on_draining: Callable[[Incarnation], None] | None = None
--- a/packages/sesamepoint/src/sesamepoint/front/send_check.py
+++ b/packages/sesamepoint/src/sesamepoint/front/send_check.py
@@ -73,14 +73,14 @@
     """
 
     def __init__(self, runner_statuses: RunnerStatuses, suspects: SuspectRequests) -> None:
-        """Check against the given runner status, and against the suspected poison requests in ``poison_requests``."""
+        """Check against the given runner status, and against the suspected poison requests in ``suspects``."""
         self.runner_statuses = runner_statuses
         self.suspects = suspects
         self._conditions = tuple((name, BLOCK_CONDITIONS.get(name)) for name in BLOCK_CONDITIONS)
 
     @classmethod
     def from_limits(cls, limits: RunnerLimits, suspects: SuspectRequests) -> SendCheck:
-        """Build the check of an instance without runner status so far, which keeps rate limits by ``input_limits``."""
+        """Build the check of an instance without runner status so far, which keeps rate limits by ``limits``."""
         return cls(RunnerStatuses(limits), suspects)
 
     def blocked_by(self, pending_send: PendingSend) -> str:
--- a/packages/sesamepoint/src/sesamepoint/front/topic_updates.py
+++ b/packages/sesamepoint/src/sesamepoint/front/topic_updates.py
@@ -19,7 +19,7 @@
 
 
 class TopicUpdate(msgspec.Struct, frozen=True, array_like=True, tag='news'):
-    """What one poll of a topic returned, from the offset ``incarnation`` up to ``end``.
+    """What one poll of a topic returned, from the offset ``start`` up to ``end``.
 
     Parameters
     ----------
--- a/packages/sesamepoint/src/sesamepoint/front/topic_watch.py
+++ b/packages/sesamepoint/src/sesamepoint/front/topic_watch.py
@@ -110,7 +110,7 @@
         peers: PeerGroup,
         rng: Random,
     ) -> None:
-        """Follow ``topic`` at the rate of ``link_pacing``, in turn with the peers."""
+        """Follow ``topic`` at the rate of ``pacing``, in turn with the peers."""
         self._store = store
         self._topic = topic
         self._wait_s = pacing.long_poll_s
--- a/packages/sesamepoint/src/sesamepoint/front/usage_messages.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage_messages.py
@@ -50,7 +50,7 @@
 
 
 class UsageMessage(msgspec.Struct, frozen=True, array_like=True, tag='usage'):
-    """Counts of a window at one incarnation of an instance; ``not_admitting`` if they are final."""
+    """Counts of a window at one incarnation of an instance; ``closed`` if they are final."""
 
     entry: str
     incarnation: Number
@@ -71,7 +71,7 @@
 
 
 def split_counts(header: WindowHeader, counts: Mapping[str, int]) -> Iterator[UsageMessage]:
-    """Split ``instance_counts`` into messages of one datagram each; at least one, even without counts."""
+    """Split ``counts`` into messages of one datagram each; at least one, even without counts."""
     rows = [AccountCount(account, times) for account, times in sorted(counts.items())]
     chunks = [rows[at : at + MAX_ROWS] for at in range(0, len(rows), MAX_ROWS)] or [[]]
     for part, chunk in enumerate(chunks):
--- a/tests/core/runner_limit/test_known_limit.py
+++ b/tests/core/runner_limit/test_known_limit.py
@@ -89,7 +89,7 @@
         self.assertEqual(self.belief.allowed_rate(11), 30)
 
     def test_update_sent_back(self) -> None:
-        """Guards against an update update that seems new, since it was long in transit or was sent back."""
+        """Guards against an old update that seems new, since it was long in transit or was sent back."""
         update = ReportedLimit(Stamp(2, 500), 30, 11)
         self.belief.on_peer_update(update)
         self.belief.on_reported(1, 12)
--- a/tests/front/limited_runners.py
+++ b/tests/front/limited_runners.py
@@ -40,7 +40,7 @@
 
 
 def engines(limited_count: int, unlimited_count: int = 0) -> list[RunnerStandIn]:
-    """Return ``limited_count`` decode engines with a rate limit, and ``unlimited_count`` and two prefill engines without."""
+    """Return ``limited_count`` decode engines with a limit, and ``unlimited_count`` and two prefill engines without."""
     runners = [engine(number, 'decode') for number in range(1, limited_count + unlimited_count + 1)]
     change_limit(runners[:limited_count], LIMIT)
     return [*runners, engine(91, 'prefill'), engine(92, 'prefill')]
@@ -75,19 +75,19 @@
 
 
 def max_in_span(bench: PlatformBench, since: float) -> int:
-    """Return the highest request count of any limited runner in a span that ends at ``changed_at`` or later."""
+    """Return the highest request count of any limited runner in a span that ends at ``since`` or later."""
     return max(_max_in_span_at(runner, since) for runner in runners_with_limit(bench))
 
 
 def used_share(bench: PlatformBench, since: float, until: float) -> float:
-    """Return the requests that the limited runners got from ``changed_at`` until ``until``, as a share of their limits."""
+    """Return the requests that the limited runners got from ``since`` until ``until``, as a share of their limits."""
     runners = runners_with_limit(bench)
     request_count = sum(runner.count_arrivals(since, until) for runner in runners)
     return request_count / (float(LIMIT) * len(runners) * (until - since))
 
 
 def change_limit(runners: Iterable[RunnerStandIn], limit: bytes) -> None:
-    """Have ``all_runners`` report ``limit`` from now on."""
+    """Have ``runners`` report ``limit`` from now on."""
     for runner in runners:
         runner.limit_headers = (limit,)
 
--- a/tests/front/test_connection_resets.py
+++ b/tests/front/test_connection_resets.py
@@ -69,7 +69,7 @@
 async def send_during_resets(
     bench: PlatformBench, req: RequestSpec, host_prefixes: tuple[str, ...], pauses_s: tuple[float, ...]
 ) -> CallerAnswer:
-    """Send ``req``, and reset connections to hosts that begin with one of ``host_prefixes`` after each of ``pauses_s``."""
+    """Send ``req``, and reset connections to hosts with one of ``host_prefixes`` after each of ``pauses_s``."""
     answers: list[CallerAnswer] = []
 
     async def ask() -> None:
--- a/tests/front/test_random_faults.py
+++ b/tests/front/test_random_faults.py
@@ -20,7 +20,7 @@
 
 
 def _retry_once(job: Any, outcome: Any) -> bool:
-    return not isinstance(outcome, Relayed) and not job.reply.begun and len(job.tried) < 2
+    return not isinstance(outcome, Relayed) and not job.reply.started and len(job.tried_runners) < 2
 
 
 def _skip_caller_check(*_: Any) -> None:
--- a/tests/front/test_send_check.py
+++ b/tests/front/test_send_check.py
@@ -21,7 +21,7 @@
     from tests.front.send_check_bench import BlockTrigger, SendCall
 
 # The only module that connects to runners; its connections run the check before they send.
-POOL_MODULE = 'front/pool.py'
+POOL_MODULE = 'front/connection_pool.py'
 # These conditions depend on a caller's request, and don't block maintenance calls.
 REQUEST_CONDITIONS = frozenset(('suspect',))
 # These connect to the store, to the receiver of usage reports and to peers, not to runners.
--- a/tests/front/test_usage_reports.py
+++ b/tests/front/test_usage_reports.py
@@ -81,7 +81,7 @@
 
 
 def _is_holder(front: object) -> bool:
-    return bool(front._following._reporting._duty.held())  # type: ignore[attr-defined]  # noqa: SLF001
+    return bool(front._store_sync._reporting._report_duty.held())  # type: ignore[attr-defined]  # noqa: SLF001
 
 
 def _late_windows(reports: list[UsageReport]) -> list[int]:
