--- a/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/duty/usage.py
@@ -92,7 +92,7 @@
     def missing(self, window: int, instances: Iterable[str]) -> list[str]:
         """Return the instances whose counts of a window are not complete yet."""
         closed = self._window(window).closed
-        return [entry for entry in instances if entry not in closed]
+        return [instance for instance in instances if instance not in closed]
 
     def total(self, window: int) -> dict[str, int]:
         """Return the counts of a window over all sources, by account."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/limit_owner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/limit_owner.py
@@ -101,7 +101,7 @@
         if priority is None:
             own = self._demands.get(instance)
             priority = IDLE_RANK.priority if own is None else own.demand.rank.priority
-        return sum(want.demand.rank.priority <= priority for want in self._demands.values())
+        return sum(pending.demand.rank.priority <= priority for pending in self._demands.values())
 
     def next_at(self) -> float:
         """Return when the next permit may be granted; infinite without demand."""
@@ -109,12 +109,12 @@
 
     def _allocate_one(self, now: float) -> AllocatedPermit:
         name = min(self._demands, key=self._order)
-        want = self._demands.pop(name)
+        pending = self._demands.pop(name)
         self._allocated_at[name] = now
-        remaining = want.demand.permits - 1
+        remaining = pending.demand.permits - 1
         if remaining:
-            self._demands[name] = want._replace(demand=want.demand._replace(permits=remaining))
-        return AllocatedPermit(name, want.asked_at)
+            self._demands[name] = pending._replace(demand=pending.demand._replace(permits=remaining))
+        return AllocatedPermit(name, pending.asked_at)
 
     def _order(self, instance: str) -> tuple[object, float]:
         return self._demands[instance].demand.rank, self._allocated_at.get(instance, -math.inf)
@@ -124,9 +124,9 @@
             return
         self._expired_at = now
         self._demands = {
-            name: want
-            for name, want in self._demands.items()
-            if name in members and now - want.received_at < lease_s(len(members))
+            name: pending
+            for name, pending in self._demands.items()
+            if name in members and now - pending.received_at < lease_s(len(members))
         }
         self._allocated_at = {name: at for name, at in self._allocated_at.items() if name in members}
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/share_lender.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/share_lender.py
@@ -145,7 +145,7 @@
         One, if this instance lately had no demand that urgent, or had a less urgent one as well:
         less urgent demands yield, so that the next permit mostly goes to an urgent one.
         """
-        recent = [known for known, report in self._contention.items() if now - report.at < CONTENTION_TTL_S]
+        recent = [level for level, report in self._contention.items() if now - report.at < CONTENTION_TTL_S]
         if max(recent, default=math.inf) > priority:
             return 1
         return self._contention[max(recent)].instances
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/shared_limit.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/shared_limit.py
@@ -122,9 +122,9 @@
         self._share.choose_owner(self._members, now)
         self._update_rate(now)
         self._allocate(now)
-        ask = self._share.next_request(self._demand, self._limit_update(now), len(self._members), now)
-        if ask is not None:
-            self._outgoing.append(AddressedMessage(self._share.owner, ask))
+        request = self._share.next_request(self._demand, self._limit_update(now), len(self._members), now)
+        if request is not None:
+            self._outgoing.append(AddressedMessage(self._share.owner, request))
         self._announce(now)
         outgoing = self._outgoing
         self._outgoing = []
@@ -132,8 +132,8 @@
 
     def next_at(self, now: float) -> float:
         """Return when :meth:`step` is due if no message arrives and nothing changes before."""
-        asks_at = self._share.next_request_at(self._demand, len(self._members))
-        return max(min(self._owner.next_at(), asks_at, self._next_announcement_at()), now)
+        request_at = self._share.next_request_at(self._demand, len(self._members))
+        return max(min(self._owner.next_at(), request_at, self._next_announcement_at()), now)
 
     def _update_rate(self, now: float) -> None:
         limit = self.known.allowed_rate(now) or 0
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/kv_cache.py
@@ -54,20 +54,20 @@
 
     def touch(self, blocks: Sequence[Part], prefill_id: str = '') -> None:
         """Note that the runner uses these blocks; a second argument names their prefill in progress."""
-        for part in blocks:
-            if prefill_id and part.key not in self._token_counts:
-                self._prefills[part.key] = prefill_id
-            self._used_tokens += part.tokens - self._token_counts.pop(part.key, 0)
-            self._token_counts[part.key] = part.tokens
+        for block in blocks:
+            if prefill_id and block.key not in self._token_counts:
+                self._prefills[block.key] = prefill_id
+            self._used_tokens += block.tokens - self._token_counts.pop(block.key, 0)
+            self._token_counts[block.key] = block.tokens
         self._shrink()
 
     def merge_reported(self, reported: Sequence[Part]) -> None:
         """Add the blocks that the runner reports; those in the model already were used later."""
-        known = self.blocks
+        modelled = self.blocks
         self._token_counts = {}
         self._used_tokens = 0
         self.touch(reported)
-        self.touch(known)
+        self.touch(modelled)
 
     def end_prefill(self, prefill_id: str) -> None:
         """Note that a prefill has ended, so that its blocks can be fetched."""
@@ -83,10 +83,10 @@
 
     def _prefix_tokens(self, blocks: Sequence[Part], excluded: Container[str]) -> int:
         total = 0
-        for part in blocks:
-            if part.key not in self._token_counts or part.key in excluded:
+        for block in blocks:
+            if block.key not in self._token_counts or block.key in excluded:
                 break
-            total += part.tokens
+            total += block.tokens
         return total
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/poison_requests.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/poison_requests.py
@@ -54,11 +54,11 @@
         drop_oldest(self._ended, MAX_REMEMBERED)
         if incarnation in self._attributed and content_id not in self._quarantined_at:
             return self.end_count(content_id)
-        starts = self._ended_under.pop(content_id, {})
-        starts[incarnation] = None
-        self._ended_under[content_id] = starts
+        incarnations = self._ended_under.pop(content_id, {})
+        incarnations[incarnation] = None
+        self._ended_under[content_id] = incarnations
         drop_oldest(self._ended_under, MAX_REMEMBERED)
-        return len(starts)
+        return len(incarnations)
 
     def has_ended(self, incarnation: Incarnation) -> bool:
         """Tell whether an incarnation of a runner is known to have ended."""
@@ -75,7 +75,7 @@
 
     def total_ends(self) -> int:
         """Return the sum over all suspect requests of the runners that ended under them."""
-        return sum(len(starts) for starts in self._ended_under.values())
+        return sum(len(incarnations) for incarnations in self._ended_under.values())
 
     def ended_incarnations(self, content_id: str) -> tuple[Incarnation, ...]:
         """Return the runners that ended under a request."""
@@ -92,8 +92,8 @@
     def quarantine(self, content_id: str, now: float) -> None:
         """Put a request in quarantine; the ends that it caused stop counting against others."""
         self._quarantined_at.setdefault(content_id, now)
-        for start in self._ended_under.get(content_id, ()):
-            self._attribute(start)
+        for incarnation in self._ended_under.get(content_id, ()):
+            self._attribute(incarnation)
         drop_oldest(self._quarantined_at, MAX_REMEMBERED)
 
     def release(self, content_id: str) -> bool:
@@ -121,11 +121,11 @@
         """Let the end of an incarnation count against quarantined requests only."""
         self._attributed[incarnation] = None
         drop_oldest(self._attributed, MAX_REMEMBERED)
-        for content_id, starts in tuple(self._ended_under.items()):
+        for content_id, incarnations in tuple(self._ended_under.items()):
             if content_id in self._quarantined_at:
                 continue
-            starts.pop(incarnation, None)
-            if not starts:
+            incarnations.pop(incarnation, None)
+            if not incarnations:
                 self._ended_under.pop(content_id)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/cache_inventory.py
+++ b/packages/sesamepoint/src/sesamepoint/front/cache_inventory.py
@@ -81,7 +81,7 @@
             events.log_event(events.INVENTORY_FAILED, runner=runner.key, cause='the runner has restarted')
             return
         member.cache.merge_reported(kept.blocks)
-        tokens = sum(part.tokens for part in kept.blocks)
+        tokens = sum(block.tokens for block in kept.blocks)
         events.log_event(events.INVENTORY_LOADED, runner=runner.key, parts=len(kept.blocks), tokens=tokens)
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/dispatch_components.py
+++ b/packages/sesamepoint/src/sesamepoint/front/dispatch_components.py
@@ -48,15 +48,15 @@
         rng
             Source of random delays.
         """
-        chooser = RunnerSelector(subset, availability_zone, sends.backlog, runner_statuses.limits)
-        waiting = EngineQueue(chooser, sends, rng)
+        selector = RunnerSelector(subset, availability_zone, sends.backlog, runner_statuses.limits)
+        engine_queue = EngineQueue(selector, sends, rng)
         return cls(
-            chooser,
+            selector,
             sends,
             HandleReclaimer(),
-            waiting,
+            engine_queue,
             runner_statuses.limits,
-            PermitQueue(runner_statuses, chooser.eligible),
+            PermitQueue(runner_statuses, selector.eligible),
         )
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_plan.py
@@ -74,21 +74,21 @@
 def plan_for(prompt: Prompt, candidates: Sequence[Candidate], speeds: Speeds, rank: int) -> EnginePlan | None:
     """Return the plan of least cost for ``prompt`` at ``rank``; None if no engine can run it."""
     members = [one.member for one in candidates]
-    holder = _best_prefix_source(prompt, members)
-    views = EngineViews(prompt, candidates, holder, speeds.pause_s).all()
-    path = best_placement(tuple(views.values()), speeds, prompt.tokens)
-    if path is None:
+    prefix_source = _best_prefix_source(prompt, members)
+    views = EngineViews(prompt, candidates, prefix_source, speeds.pause_s).all()
+    placement = best_placement(tuple(views.values()), speeds, prompt.tokens)
+    if placement is None:
         return None
     by_key = {one.member.runner.key: one for one in candidates}
-    first = by_key[path.prefill or path.decode]
+    first = by_key[placement.prefill or placement.decode]
     return EnginePlan(
-        placement=path,
-        prefill=first.member if path.prefill else None,
-        decode=by_key[path.decode].member,
-        prefix_source=holder,
+        placement=placement,
+        prefill=first.member if placement.prefill else None,
+        decode=by_key[placement.decode].member,
+        prefix_source=prefix_source,
         view=views[first.member.runner.key],
         rank=rank,
-        decode_full=views[path.decode].crowded,
+        decode_full=views[placement.decode].crowded,
         speeds=speeds,
         admitted=not first.permit_wait_s,
     )
@@ -120,10 +120,10 @@
 
     def _view(self, candidate: Candidate) -> EngineView:
         member = candidate.member
-        cached = member.cache.cached_tokens(self._prompt.parts)
-        known = max(cached, self._fetchable_tokens)
-        if known - cached < MIN_FETCH_TOKENS:
-            known = cached
+        cached_tokens = member.cache.cached_tokens(self._prompt.parts)
+        available_tokens = max(cached_tokens, self._fetchable_tokens)
+        if available_tokens - cached_tokens < MIN_FETCH_TOKENS:
+            available_tokens = cached_tokens
         runner = member.runner
         return EngineView(
             runner=runner.key,
@@ -133,8 +133,8 @@
             streams=member.load.on_time_streams(self._now),
             fill=min(member.load.streams(self._now) / max(runner.slots, 1), 1),
             crowded=self._is_full(member),
-            uncached_tokens=max(self._prompt.tokens - known, 1),
-            fetch_tokens=known - cached,
+            uncached_tokens=max(self._prompt.tokens - available_tokens, 1),
+            fetch_tokens=available_tokens - cached_tokens,
             pace=member.pace.factor(self._now),
             order=self._fill_order.get(runner.key, 0),
             zone=runner.zone,
--- a/packages/sesamepoint/src/sesamepoint/front/engine_subset.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_subset.py
@@ -47,11 +47,11 @@
         if self._membership_version != self._fleet.changes:
             self._membership_version = self._fleet.changes
             self._membership.clear()
-        known = self._membership.get(runner.key)
-        if known is None:
-            known = self._in_subset_of(self._instance_id, runner)
-            self._membership[runner.key] = known
-        return known
+        in_subset = self._membership.get(runner.key)
+        if in_subset is None:
+            in_subset = self._in_subset_of(self._instance_id, runner)
+            self._membership[runner.key] = in_subset
+        return in_subset
 
     def contains_at(self, instance_id: str, key: str) -> bool:
         """Tell whether an instance uses the runner with ``key``."""
--- a/packages/sesamepoint/src/sesamepoint/front/fleet.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet.py
@@ -174,9 +174,9 @@
         """
         self._drop_expired()
         of_service = [member for member in self.members.values() if member.runner.service == service]
-        usable = [member for member in of_service if not member.draining and not member.replaced]
-        registered = [member for member in usable if member.unregistered_at is None]
-        return registered or usable
+        accepting = [member for member in of_service if not member.draining and not member.replaced]
+        registered = [member for member in accepting if member.unregistered_at is None]
+        return registered or accepting
 
     def _all_draining(self, service: str) -> bool:
         """Tell whether runners of ``service`` are registered, and all of them are draining."""
--- a/packages/sesamepoint/src/sesamepoint/front/front.py
+++ b/packages/sesamepoint/src/sesamepoint/front/front.py
@@ -56,23 +56,27 @@
         rng: Random,
         clock: Clock | None = None,
     ) -> None:
-        """Create the parts without starting them; without a clock the system clock is used."""
+        """Create the components without starting them; without a clock the system clock is used."""
         self.cfg = cfg
         self._runner_limits = RunnerLimits(cfg.name, rng)
         quarantine = Quarantine(cfg.name)
-        gate = SendCheck.from_limits(self._runner_limits, quarantine.suspects)
-        self.fleet = Fleet(cfg.drain_s, network, trio.current_time, gate)
+        send_check = SendCheck.from_limits(self._runner_limits, quarantine.suspects)
+        self.fleet = Fleet(cfg.drain_s, network, trio.current_time, send_check)
         sends = SendTracker(cfg.name, self.fleet, rng)
         self.backlog = sends.backlog
-        known = EngineSubset(cfg.name, self.fleet)
-        self.peers = Peers(cfg, sends, quarantine, known, peer_network)
-        self._inventory = CacheInventory(self.fleet, known, rng)
+        engine_subset = EngineSubset(cfg.name, self.fleet)
+        self.peers = Peers(cfg, sends, quarantine, engine_subset, peer_network)
+        self._inventory = CacheInventory(self.fleet, engine_subset, rng)
         budgets = RetryBudgets(cfg.retry_ratio, cfg.retry_window_s)
-        self._components = DispatchComponents.build(cfg.availability_zone, known, sends, gate.runner_statuses, rng)
-        self._limit_exchange = LimitExchange(self._components, self.fleet, known, self.peers)
+        self._components = DispatchComponents.build(
+            cfg.availability_zone, engine_subset, sends, send_check.runner_statuses, rng
+        )
+        self._limit_exchange = LimitExchange(self._components, self.fleet, engine_subset, self.peers)
         self.dispatcher = Dispatcher(self._components, EngineRuns(self._components), quarantine, budgets, rng)
-        beliefs = SyncTargets(self.dispatcher, self.fleet, gate.runner_statuses, self.peers, budgets, quarantine)
-        self._store_sync = StoreSync(cfg, beliefs, network, rng, clock)
+        sync_targets = SyncTargets(
+            self.dispatcher, self.fleet, send_check.runner_statuses, self.peers, budgets, quarantine
+        )
+        self._store_sync = StoreSync(cfg, sync_targets, network, rng, clock)
         self.peer_pages = self._store_sync.pages
         self.http_handler = HttpHandler(self.dispatcher, self._server_limits)
         self.listener_scope = trio.CancelScope()
@@ -119,22 +123,26 @@
                 await trio.sleep(DRAIN_POLL_S)
 
     def _add_gauges(self, quarantine: Quarantine) -> None:
-        tools, fleet = self._components, self.fleet
+        components, fleet = self._components, self.fleet
         gauges = (
-            ('waiting_requests', 'Requests that wait here for an engine.', tools.engine_queue.count),
+            ('waiting_requests', 'Requests that wait here for an engine.', components.engine_queue.count),
             ('active_requests', 'Requests under way.', lambda: self.http_handler.active),
             ('entries', 'Entries that are registered.', self.peers.count),
             ('runners', 'Runners that are known.', lambda: len(fleet.members)),
-            ('waiting_for_limits', 'Requests that wait for runners with limits, or at rest.', tools.permit_queue.count),
+            (
+                'waiting_for_limits',
+                'Requests that wait for runners with limits, or at rest.',
+                components.permit_queue.count,
+            ),
             ('limited_runners', 'Runners that name a limit.', self._runner_limits.count),
             ('leaving_runners', 'Runners that leave.', fleet.count_draining),
             ('resting_runners', 'Runners that want nothing from here now.', fleet.count_backing_off),
             ('configuration_version', 'Version in force; 0 before the first.', self._config_version),
         )
-        watch = self.dispatcher.metrics.add_gauge
+        add_gauge = self.dispatcher.metrics.add_gauge
         for name, text, value_of in gauges:
-            watch(f'sesamepoint_{name}', text, value_of)
-        quarantine.watch(watch)
+            add_gauge(f'sesamepoint_{name}', text, value_of)
+        quarantine.watch(add_gauge)
 
     def _config_version(self) -> float:
         cfg = self.dispatcher.configuration
--- a/packages/sesamepoint/src/sesamepoint/front/peer_messages.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_messages.py
@@ -143,10 +143,10 @@
 def _merge(updates: Sequence[SuspectUpdate]) -> SuspectUpdate:
     return SuspectUpdate(
         updates[0].entry,
-        ends=tuple(row for notice in updates for row in notice.ends),
-        trials=tuple(row for notice in updates for row in notice.trials),
-        served=tuple(row for notice in updates for row in notice.served),
-        quarantined=tuple(row for notice in updates for row in notice.quarantined),
+        ends=tuple(row for update in updates for row in update.ends),
+        trials=tuple(row for update in updates for row in update.trials),
+        served=tuple(row for update in updates for row in update.served),
+        quarantined=tuple(row for update in updates for row in update.quarantined),
     )
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine.py
@@ -118,8 +118,8 @@
 
     def record_attempt(self, job: Job, outcome: AttemptResult | None) -> None:
         """Record the outcome of an attempt of ``job``; None if its caller left or it wasn't sent."""
-        for start in job.ended_incarnations:
-            self._note_runner_end(job.content_id, start, alone=job.probe is not None)
+        for incarnation in job.ended_incarnations:
+            self._note_runner_end(job.content_id, incarnation, alone=job.probe is not None)
         if isinstance(outcome, Relayed | RunFailed):
             self._note_served(job)
         if job.tried_runners and (outcome is None or isinstance(outcome, Silent)):
@@ -132,9 +132,9 @@
 
     def on_suspect_update(self, update: SuspectUpdate) -> None:
         """Handle an update from a peer."""
-        for content_id, start in update.ends:
-            self.suspects.note_end(content_id, start)
-            self._blame_abandoned(start)
+        for content_id, incarnation in update.ends:
+            self.suspects.note_end(content_id, incarnation)
+            self._blame_abandoned(incarnation)
         for probe_update in update.trials:
             self.probes.note(update.entry, probe_update.trial, probe_update.state)
         for content_id in update.served:
@@ -145,9 +145,9 @@
     def announce_to(self, peer: str) -> None:
         """Send the newest suspects and quarantined requests to a peer that has just registered."""
         newest_ends = (
-            RunnerEnd(content_id, start)
+            RunnerEnd(content_id, incarnation)
             for content_id in reversed(self.suspects.all_suspect())
-            for start in self.suspects.ended_incarnations(content_id)
+            for incarnation in self.suspects.ended_incarnations(content_id)
         )
         ends = tuple(islice(newest_ends, MAX_ROWS))
         quarantined = self.suspects.all_quarantined()[-MAX_ROWS:]
@@ -167,12 +167,12 @@
             return self.suspects.release(record.key)
         if self.suspects.quarantined(record.key):
             return False
-        starts = _decode_starts(record)
-        for start in starts:
-            self.suspects.note_end(record.key, start)
-        if starts:
+        incarnations = _decode_starts(record)
+        for incarnation in incarnations:
+            self.suspects.note_end(record.key, incarnation)
+        if incarnations:
             self.suspects.quarantine(record.key, trio.current_time())
-        return bool(starts)
+        return bool(incarnations)
 
     def note_missing(self, records: tuple[KeyedRecord, ...]) -> None:
         """Note which records are missing in a store that was restored from an older copy."""
@@ -278,9 +278,11 @@
     def _quarantine(self, content_id: str) -> None:
         self.suspects.quarantine(content_id, trio.current_time())
         self.send_queue.enqueue(SuspectUpdate(self._instance, quarantined=(content_id,)))
-        starts = self.suspects.ended_incarnations(content_id)
-        self._enqueue_record(content_id, msgspec.json.encode(starts))
-        events.log_event(events.QUARANTINED, content=content_id, runners=[start.runner for start in starts])
+        incarnations = self.suspects.ended_incarnations(content_id)
+        self._enqueue_record(content_id, msgspec.json.encode(incarnations))
+        events.log_event(
+            events.QUARANTINED, content=content_id, runners=[incarnation.runner for incarnation in incarnations]
+        )
 
     def _release(self, content_id: str, cause: str) -> None:
         if self.suspects.release(content_id):
--- a/packages/sesamepoint/src/sesamepoint/front/queue_triage.py
+++ b/packages/sesamepoint/src/sesamepoint/front/queue_triage.py
@@ -63,10 +63,10 @@
     def set_expected_wait(self, wait_s: float) -> None:
         """Set the expected wait to ``wait_s``; the log line of the request has the first estimate."""
         self.expected_s = wait_s
-        notes = self.job.trace
-        if notes.wait_expected_s is None:
-            notes.wait_expected_s = wait_s
-            notes.need = self.queue.need.value
+        trace = self.job.trace
+        if trace.wait_expected_s is None:
+            trace.wait_expected_s = wait_s
+            trace.need = self.queue.need.value
 
     def waits_for_permit_of(self, runner: str) -> bool:
         """Tell whether it waits for a permit for prefill at ``runner``, by the newest plan."""
@@ -85,8 +85,8 @@
     @property
     def slack_s(self) -> float:
         """Return for how many seconds it may still wait and be answered before its deadline."""
-        path = self._newest_plan.placement
-        return self.job.first_output_left_s - (path.first_s - self._newest_plan.view.wait_s)
+        placement = self._newest_plan.placement
+        return self.job.first_output_left_s - (placement.first_s - self._newest_plan.view.wait_s)
 
     @property
     def urgent_retry(self) -> bool:
--- a/packages/sesamepoint/src/sesamepoint/front/send_check.py
+++ b/packages/sesamepoint/src/sesamepoint/front/send_check.py
@@ -116,11 +116,13 @@
 def _lacks_permit(check: SendCheck, pending_send: PendingSend) -> bool:
     """Return whether a rate limit leaves no token, or the runner never answered and so may yet report a limit."""
     limits, job = check.runner_statuses.limits, pending_send.purpose.job
-    start = pending_send.member.incarnation
+    incarnation = pending_send.member.incarnation
     if job is None:
         # All tokens of a rate-limited runner go to requests of callers.
-        return limits.limited(start)
-    return pending_send.other_requests >= limits.max_in_flight(pending_send.member) or not limits.has_permit(start, job)
+        return limits.limited(incarnation)
+    return pending_send.other_requests >= limits.max_in_flight(pending_send.member) or not limits.has_permit(
+        incarnation, job
+    )
 
 
 @BLOCK_CONDITIONS.register('suspect')
--- a/packages/sesamepoint/src/sesamepoint/front/store_sync.py
+++ b/packages/sesamepoint/src/sesamepoint/front/store_sync.py
@@ -39,7 +39,7 @@
     def __init__(
         self, cfg: FrontSettings, beliefs: SyncTargets, network: Network, rng: Random, clock: Clock | None
     ) -> None:
-        """Create the parts without starting them; ``clock`` defaults to the system clock."""
+        """Create the components without starting them; ``clock`` defaults to the system clock."""
         peers = beliefs.peers
         new_client = partial(StoreClient, cfg.store.address, network, StoreEpoch())
         self._registration = InstanceRegistration(cfg.name, peers, new_client)
@@ -62,17 +62,17 @@
 
     def children(self) -> list[Child]:
         """Return the tasks to run."""
-        intake = self._intake
+        topic_sync = self._intake
         return [
-            Child('configuration', intake.follow_configuration),
-            Child('runners', intake.follow_runners),
-            Child('entries', intake.follow_entries),
-            Child('quarantine', intake.follow_quarantine),
+            Child('configuration', topic_sync.follow_configuration),
+            Child('runners', topic_sync.follow_runners),
+            Child('entries', topic_sync.follow_entries),
+            Child('quarantine', topic_sync.follow_quarantine),
             Child('quarantine-write', self._quarantine_records.write),
             Child('quarantine-restore', self._quarantine_records.restore),
             Child('quarantine-end', self._quarantine_records.end_expired),
             Child('registration', self._registration.stay_registered),
-            Child('lost-entries', partial(self._registration.drop_failed, intake.polls_entries)),
+            Child('lost-entries', partial(self._registration.drop_failed, topic_sync.polls_entries)),
             Child('peer-configuration', self._peer_configuration.fetch_queued),
             Child('runner-news', self._runner_status.run),
             Child('peer-compare', self._peer_configuration.compare_versions),
--- a/packages/sesamepoint/src/sesamepoint/front/usage_reporting.py
+++ b/packages/sesamepoint/src/sesamepoint/front/usage_reporting.py
@@ -28,7 +28,7 @@
     def __init__(
         self, cfg: DutySettings, peers: Peers, store: StoreClient, network: Network, clock: Clock, rng: Random
     ) -> None:
-        """Create the parts without starting them."""
+        """Create the components without starting them."""
         true_time = SmoothedTime(clock)
         meter = UsageMeter(cfg.window_s)
         self._counts = UsageCounts(meter, true_time, clock, peers, rng)
--- a/tests/core/runner_limit/test_shared_limit.py
+++ b/tests/core/runner_limit/test_shared_limit.py
@@ -148,7 +148,7 @@
     def test_without_leases(self) -> None:
         """Without leases each disconnected instance uses the whole limit."""
 
-        def all_lent(giver: LimitOwner, members: frozenset[str], now: float) -> int:
+        def all_lent(owner: LimitOwner, members: frozenset[str], now: float) -> int:
             return len(members) - 1
 
         with patch.object(LimitOwner, 'leased_shares', all_lent):
@@ -156,21 +156,21 @@
 
     def test_leases_from_arrival(self) -> None:
         """Without stamps an owner that wakes counts leases from requests that arrived while it was frozen."""
-        heard = LimitOwner.on_request
+        on_request = LimitOwner.on_request
 
-        def from_arrival(giver: LimitOwner, name: str, ask: PermitRequest, instances: int, now: float) -> None:
-            lends = giver.stamp(now) if ask.leased_from else None
-            heard(giver, name, ask._replace(leased_from=lends), instances, now)
+        def from_arrival(owner: LimitOwner, name: str, request: PermitRequest, instances: int, now: float) -> None:
+            leased_from = owner.stamp(now) if request.leased_from else None
+            on_request(owner, name, request._replace(leased_from=leased_from), instances, now)
 
         with patch.object(LimitOwner, 'on_request', from_arrival):
             self.assertGreater(_excess_after_wake(), 0)
 
     def test_without_permit_expiry(self) -> None:
         """Without a bound on their age all instances use their kept permits at the same moment."""
-        pace = TokenBucket.update_rate
+        update_rate = TokenBucket.update_rate
 
-        def for_ever(pacer: TokenBucket, rate: float, keep_s: float, now: float) -> None:
-            pace(pacer, rate, math.inf, now)
+        def for_ever(bucket: TokenBucket, rate: float, max_age_s: float, now: float) -> None:
+            update_rate(bucket, rate, math.inf, now)
 
         with patch.object(TokenBucket, 'update_rate', for_ever):
             self.assertGreater(_excess_of_simultaneous_requests(), 0)
