--- a/packages/sesamepoint-core/src/sesamepoint_core/answer/assembly.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/answer/assembly.py
@@ -1,14 +1,15 @@
-"""Putting an answer together from numbered chunks."""
+"""Reassembly of an answer from numbered chunks."""
 
 from __future__ import annotations
 
 
 class Assembler:
-    """Order chunks by number; drop repeats, hold back what came too early.
+    """Reorder chunks by number: drop duplicates and buffer chunks that are out of order.
 
     A resumed attempt may send chunks again, and an old connection may still
-    deliver some after the new one. Without numbers the caller would see text
-    twice or torn; with them every chunk is released exactly once, in order.
+    deliver chunks after the new one does. Without numbers the caller could
+    get text twice or in the wrong order; here each chunk is released exactly
+    once, in order.
     """
 
     def __init__(self) -> None:
@@ -19,21 +20,21 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the counted end is known and all before it is released."""
+        """Whether the number of chunks is known and all of them are released."""
         return self._total is not None and self.released >= self._total
 
     def push(self, number: int, payload: bytes) -> list[bytes]:
-        """Take one chunk and return those that are now in order."""
+        """Add one chunk and return the chunks that can be released now, in order."""
         if number >= self.released:
             self._early.setdefault(number, payload)
-        ready = []
+        in_order = []
         while self.released in self._early:
-            ready.append(self._early.pop(self.released))
+            in_order.append(self._early.pop(self.released))
             self.released += 1
-        return ready
+        return in_order
 
     def finish(self, total: int) -> None:
-        """Learn how many chunks the whole answer has."""
+        """Set the number of chunks of the whole answer."""
         self._total = total
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/answer/outcome.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/answer/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a request: tagged outcomes."""
+"""Outcomes of a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer reached the caller."""
+    """The whole answer was delivered to the caller."""
 
     tag: ClassVar[str] = 'answered'
     chunks: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request never reached an upstream, and never will."""
+    """The request did not reach an upstream and will not reach one."""
 
     tag: ClassVar[str] = 'not_run'
     code: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Failed:
-    """The request ran, and its upstream gave no whole answer."""
+    """The request ran, but its upstream gave no complete answer."""
 
     tag: ClassVar[str] = 'failed'
     code: str
--- a/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration as a whole."""
+"""Parsing and validation of a configuration document."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class NotConfiguredError(SesamepointError):
-    """Nothing was published yet."""
+    """No configuration was published yet."""
 
     def __init__(self) -> None:
-        """Tell the operator to publish."""
+        """Set the message and the advice to publish a configuration."""
         super().__init__('no configuration is in force', 'publish one with "sesamectl publish"')
 
 
 @lru_cache(maxsize=KEPT_PARSED)
 def parse_configuration(document: bytes) -> Configuration:
-    """Return the typed form of a checked configuration."""
+    """Return the parsed form of a valid configuration document; cached."""
     return _adapter.validate_json(document)
 
 
 def check_configuration(document: bytes) -> tuple[str, ...]:
-    """Return one line for each thing wrong with ``document``."""
+    """Return one line for each problem in ``document``; empty if it is valid."""
     try:
         cfg = _adapter.validate_json(document)
     except ValidationError as exc:
@@ -46,18 +46,18 @@
 
 
 def preset_names(document: bytes) -> tuple[str, ...]:
-    """Return the presets that a checked configuration defines."""
+    """Return the names of the presets that a valid configuration document defines."""
     parsed = msgspec.json.decode(document)
     return tuple(parsed['presets']) if parsed else ()
 
 
 def in_force(state: State) -> InForce:
-    """Return what governs at ``state``.
+    """Return the configuration and preset in force at ``state``.
 
     Raises
     ------
     NotConfiguredError
-        If no configuration was accepted so far.
+        If no configuration was accepted yet.
     """
     if not state.version:
         raise NotConfiguredError
@@ -77,9 +77,9 @@
         if runner['fleet'] not in cfg['fleets']:
             known = ', '.join(sorted(cfg['fleets']))
             yield f'runners.{name}.fleet: no fleet {runner["fleet"]!r}; use one of: {known}'
-        twin = seen.setdefault(runner['agent'], name)
-        if twin != name:
-            yield f'runners.{name}.agent: {runner["agent"]} is also the agent of {twin}; give each runner its own'
+        first_user = seen.setdefault(runner['agent'], name)
+        if first_user != name:
+            yield f'runners.{name}.agent: {runner["agent"]} is also the agent of {first_user}; give each runner its own'
 
 
 def _check_fleets(cfg: Configuration) -> Iterator[str]:
@@ -87,9 +87,9 @@
     for name, fleet in cfg['fleets'].items():
         yield from _check_fleet(cfg, name, fleet)
         for model in fleet['models']:
-            twin = models.setdefault(model, name)
-            if twin != name:
-                yield f'fleets.{name}.models: {model!r} is also served by {twin}; name it once'
+            first_user = models.setdefault(model, name)
+            if first_user != name:
+                yield f'fleets.{name}.models: {model!r} is also served by {first_user}; name it once'
 
 
 def _check_fleet(cfg: Configuration, name: str, fleet: FleetConfig) -> Iterator[str]:
@@ -98,7 +98,7 @@
     if floors > size:
         yield f'fleets.{name}.floors: they add up to {floors}, the fleet has {size}; lower them'
     if fleet['kind'] == 'engine' and 'engine' not in fleet:
-        yield f'fleets.{name}.engine: it is missing; give the measured figures of the engines'
+        yield f'fleets.{name}.engine: it is missing; set the measured times of the engines'
     for runner in sorted(set(fleet['roles']) - set(cfg['runners'])):
         yield f'fleets.{name}.roles.{runner}: no such runner; remove it or add the runner'
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration that operators publish."""
+"""Types of the configuration that operators publish."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @with_config(_CLOSED)
 class ProfileConfig(TypedDict):
-    """What a role sets in an engine: prompt tokens a step, answers at once."""
+    """Engine settings of a role: prompt tokens per step and answers at once."""
 
     chunk_tokens: Count
     max_running: Count
@@ -41,7 +41,7 @@
 
 @with_config(_CLOSED)
 class EngineConfig(TypedDict):
-    """Measured figures of an engine, which the planner reckons with.
+    """Measured times of an engine, used by the planner.
 
     A step takes ``base_step_s``, plus ``prefill_token_s`` for each prompt
     token and ``decode_answer_s`` for each answer in it. A role change takes
@@ -57,11 +57,11 @@
 
 @with_config(_CLOSED)
 class FleetConfig(TypedDict):
-    """A named set of runners that can stand in for each other.
+    """A set of interchangeable runners.
 
-    ``roles`` is what a runner starts as; ``floors`` is how many of a role
-    must stay; ``models`` are the names that callers ask for; ``engine`` is
-    there for fleets of engines.
+    ``roles`` are the roles that runners start in. ``floors`` is the least
+    number of runners of each role. ``models`` are the names that callers
+    request. ``engine`` is required for fleets of engines.
     """
 
     kind: FleetKind
@@ -75,13 +75,14 @@
 class PresetConfig(TypedDict):
     """Policy settings that change together.
 
-    ``role_change_weight`` is in answers: how many late ones a role change
-    may not be worth. ``max_changing`` bounds runners in change per fleet.
-    ``horizon_s`` is how long a shift must last to count; a swing that is
-    shorter is left to routing.
-    ``account_rate`` is in requests a second over all entries. A small job is
-    let in only if it should end within ``small_deadline_share`` of its time,
-    so that small jobs are shed before the main one.
+    ``role_change_weight`` is the number of late answers that a role change
+    must save beyond those that it causes. ``max_changing`` is the maximum
+    number of runners per fleet that change roles at once. ``horizon_s`` is
+    how long a change of demand must last to be planned for; shorter swings
+    are left to routing. ``account_rate`` is in requests per second over all
+    instances. A small request is admitted only if it is expected to end
+    within ``small_deadline_share`` of its timeout, so that small requests are
+    refused before those of the main job.
     """
 
     role_change_weight: NonNegative
@@ -95,7 +96,7 @@
 
 @with_config(_CLOSED)
 class Configuration(TypedDict):
-    """Everything that operators decide about one deployment."""
+    """Configuration of one deployment."""
 
     deployment: Name
     fleets: dict[Name, FleetConfig]
@@ -104,7 +105,7 @@
 
 
 class InForce(NamedTuple):
-    """The configuration and preset that govern, with their version."""
+    """The configuration and preset in force, with their version."""
 
     version: int
     preset_name: str
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/apply.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/apply.py
@@ -1,4 +1,4 @@
-"""The fold itself: one record in, the next state and a verdict out."""
+"""Transitions of the folded state: apply one record and return the next state and the outcome."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Step(NamedTuple):
-    """The state after a record, and what became of the record."""
+    """State after a record, and the outcome of the record."""
 
     state: State
     verdict: Verdict
@@ -38,36 +38,36 @@
 
 
 def apply(state: State, offset: int, payload: bytes) -> Step:
-    """Fold one record.
+    """Apply one record to the state.
 
     Parameters
     ----------
     state
-        The fold of all records before ``offset``.
+        State after all records before ``offset``.
     offset
-        Where the record lies on the log.
+        Offset of the record on the log.
     payload
-        The record's bytes.
+        Encoded record.
 
     Returns
     -------
     Step
-        The next state; its ``offset`` moves on whatever the verdict is.
+        Next state, which has the new ``offset`` whatever the outcome is.
     """
-    moved = state._replace(offset=offset)
+    advanced = state._replace(offset=offset)
     try:
         record, body = decode(payload)
     except msgspec.DecodeError as exc:
         return Step(
-            moved, _rejected(offset, 'unreadable', f'record {offset} cannot be read: {exc}', 'upgrade this process')
+            advanced, _rejected(offset, 'unreadable', f'record {offset} cannot be read: {exc}', 'upgrade this process')
         )
-    # A writer whose append was answered by silence appends again under the
-    # same serial. Both copies may be on the log; the second must not count,
-    # or a lost reply would publish, or order, twice.
+    # A writer that got no reply to an append repeats it with the same serial,
+    # so both copies may be on the log. The second must have no effect, or a
+    # lost reply would publish or order twice.
     if record.serial <= state.writers.get(record.writer, (NEVER, NEVER))[0]:
-        return Step(moved, Repeated(offset), record)
-    moved = moved._replace(writers=_remember(state.writers, record, offset))
-    return _RULES[type(body)](moved, offset, body)._replace(record=record)
+        return Step(advanced, Repeated(offset), record)
+    advanced = advanced._replace(writers=_remember(state.writers, record, offset))
+    return _RULES[type(body)](advanced, offset, body)._replace(record=record)
 
 
 def _remember(writers: dict[str, tuple[int, int]], record: Record, offset: int) -> dict[str, tuple[int, int]]:
@@ -79,9 +79,9 @@
 
 
 def _publish(state: State, offset: int, body: Publish) -> Step:
-    stale = _stale_version(state, offset, body.based_on)
-    if stale:
-        return Step(state, stale)
+    conflict = _stale_version(state, offset, body.based_on)
+    if conflict:
+        return Step(state, conflict)
     problems = check_configuration(bytes(body.configuration))
     if problems:
         return Step(state, _rejected(offset, 'invalid', problems[0], 'run "sesamectl check" on the file'))
@@ -92,7 +92,7 @@
                 offset,
                 'preset_missing',
                 f'preset {state.preset!r} is in force and not in the file',
-                'add it, or switch first',
+                'add it to the file, or switch to another preset first',
             ),
         )
     published = state._replace(configuration=bytes(body.configuration))
@@ -100,9 +100,9 @@
 
 
 def _switch(state: State, offset: int, body: SwitchPreset) -> Step:
-    stale = _stale_version(state, offset, body.based_on)
-    if stale:
-        return Step(state, stale)
+    conflict = _stale_version(state, offset, body.based_on)
+    if conflict:
+        return Step(state, conflict)
     if body.preset not in preset_names(state.configuration):
         return Step(
             state,
@@ -120,12 +120,12 @@
 def _stale_version(state: State, offset: int, based_on: int) -> Rejected | None:
     if based_on == state.version:
         return None
-    winner = state.changes[-1] if state.changes else Change(0, NEVER, 'nobody', 'nothing')
+    newest = state.changes[-1] if state.changes else Change(0, NEVER, 'nobody', 'nothing')
     return _rejected(
         offset,
         'version_conflict',
-        f'made from version {based_on}, but {winner.operator} put version {winner.version} ({winner.what}) in force',
-        f'look at version {winner.version} with "sesamectl show", then publish again on top of it',
+        f'made from version {based_on}, but {newest.operator} put version {newest.version} ({newest.what}) in force',
+        f'look at version {newest.version} with "sesamectl show", then publish again on top of it',
     )
 
 
@@ -144,24 +144,42 @@
     lease = state.leases.get(body.name)
     if lease is None or lease.fence != body.fence:
         return Step(
-            state, _rejected(offset, 'lease_lost', f'{body.name} was claimed by another', 'stop acting, follow')
+            state,
+            _rejected(
+                offset,
+                'lease_lost',
+                f'{body.name} was claimed by another process',
+                'stop acting under this lease and follow the log',
+            ),
         )
     kept = {**state.leases, body.name: lease._replace(renewed=offset)}
     return Step(state._replace(leases=kept), Accepted(offset, state.version))
 
 
 def _order(state: State, offset: int, body: Order) -> Step:
-    # A deposed holder may wake and still append. Judging its order here, at
-    # its place in the log, makes it void for every process alike, whenever
-    # it lands; no clock and no message from the new holder is needed.
+    # A former lease holder that was paused may still append orders. Checking
+    # the fencing number at the order's offset rejects them in every process
+    # alike, with no clock and no message from the new holder.
     lease = state.leases.get(body.fleet)
     if lease is None or lease.fence != body.fence:
         return Step(
-            state, _rejected(offset, 'fenced', f'order {offset} was given under a lost lease', 'stop acting, follow')
+            state,
+            _rejected(
+                offset,
+                'fenced',
+                f'order {offset} was issued under a lost lease',
+                'stop acting under this lease and follow the log',
+            ),
         )
     if body.version != state.version:
         return Step(
-            state, _rejected(offset, 'superseded', f'version {state.version} came before order {offset}', 'plan anew')
+            state,
+            _rejected(
+                offset,
+                'superseded',
+                f'version {state.version} took effect before order {offset}',
+                'plan again from this version',
+            ),
         )
     standing = StandingOrder(
         offset, body.fleet, body.role, body.fence, body.version, body.reason, done=False, found_role=''
@@ -173,7 +191,10 @@
     standing = state.orders.get(body.runner)
     if standing is None or standing.offset != body.offset:
         return Step(
-            state, _rejected(offset, 'superseded', f'order {body.offset} is no longer standing', 'nothing to do')
+            state,
+            _rejected(
+                offset, 'superseded', f'order {body.offset} is not the newest one for its runner', 'nothing to do'
+            ),
         )
     done = standing._replace(done=True, found_role=body.role)
     return Step(state._replace(orders={**state.orders, body.runner: done}), Accepted(offset, state.version))
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/records.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/records.py
@@ -1,4 +1,4 @@
-"""The records of the control log and their encoding."""
+"""Record types of the control log and their JSON encoding."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class Record(NamedTuple):
-    """One record as it lies on the log.
+    """Envelope of a record on the log.
 
     Parameters
     ----------
     writer
-        The incarnation that wrote it.
+        Incarnation of the process that wrote the record.
     serial
-        The writer's own count; a repeated append carries the same one.
+        Number that the writer counts up; a repeated append carries the same number.
     kind
-        The registered name of the body's type.
+        Registered name of the body's type.
     body
-        The encoded body.
+        Encoded body.
     """
 
     writer: str
@@ -36,7 +36,7 @@
 
 @RECORDS.register('publish')
 class Publish(NamedTuple):
-    """A whole new configuration, made from version ``based_on``."""
+    """Replace the whole configuration, based on version ``based_on``."""
 
     based_on: int
     operator: str
@@ -45,7 +45,7 @@
 
 @RECORDS.register('preset')
 class SwitchPreset(NamedTuple):
-    """Put another preset in force, seen from version ``based_on``."""
+    """Switch to another preset, based on version ``based_on``."""
 
     based_on: int
     operator: str
@@ -54,7 +54,11 @@
 
 @RECORDS.register('claim')
 class ClaimLease(NamedTuple):
-    """Take the lease ``name``; void if it moved after offset ``last_seen``."""
+    """Claim the lease ``name``.
+
+    Rejected unless ``last_seen`` is the offset of the newest claim or renewal
+    of the lease, or the lease was never claimed.
+    """
 
     name: str
     holder: str
@@ -63,7 +67,7 @@
 
 @RECORDS.register('renew')
 class RenewLease(NamedTuple):
-    """Keep the lease ``name`` that was claimed at offset ``fence``."""
+    """Renew the lease ``name`` that was claimed at offset ``fence``."""
 
     name: str
     fence: int
@@ -71,7 +75,7 @@
 
 @RECORDS.register('order')
 class Order(NamedTuple):
-    """Tell one upstream to take a role, under a lease and a version."""
+    """Order one upstream to take a role, under a lease and a configuration version."""
 
     fleet: str
     runner: str
@@ -83,7 +87,7 @@
 
 @RECORDS.register('order-done')
 class OrderDone(NamedTuple):
-    """The agent's word on what became of the order at ``offset``."""
+    """Report by an agent that the order at ``offset`` is done, with the role found."""
 
     runner: str
     offset: int
@@ -98,18 +102,18 @@
 
 
 def encode(writer: str, serial: int, body: Body) -> bytes:
-    """Return the bytes to append for ``body``."""
+    """Return the encoded record to append for ``body``."""
     raw = msgspec.Raw(_encoder.encode(body))
     return _encoder.encode(Record(writer, serial, _KIND_OF[type(body)], raw))
 
 
 def decode(payload: bytes) -> tuple[Record, Body]:
-    """Return the envelope and the typed body.
+    """Return the envelope and the decoded body.
 
     Raises
     ------
     msgspec.DecodeError
-        If the payload is none of ours.
+        If the payload is not a valid record or its kind is unknown.
     """
     record = _envelope.decode(payload)
     if record.kind not in RECORDS:
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/snapshot.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the fold, and which of several a joiner takes."""
+"""Snapshots of the state folded from the control log, and the choice of one to start from."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Snapshot(NamedTuple):
-    """The fold up to ``state.offset``, written under lease ``fence``."""
+    """State up to ``state.offset``, written under the lease claimed at offset ``fence``."""
 
     fence: int
     state: State
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Order of preference: the later lease, then the longer prefix.
+        """Sort key: the later lease first, then the longer prefix of the log.
 
-        A holder that slept through its lease may still write an old state
-        after its successor wrote a newer one. Ranked by arrival, it would
-        win with a joiner that has nothing to compare it to, and a
-        configuration would revert; ranked by fencing number it cannot.
+        A paused holder that has lost its lease may still write an old state
+        after its successor wrote a newer one. If the last write won, a process
+        that starts without other state would take the old one and revert the
+        configuration. The fencing number prevents this.
         """
         return (self.fence, self.state.offset)
 
@@ -36,19 +36,19 @@
 
 
 def decode_snapshot(payload: bytes) -> Snapshot:
-    """Read what :func:`encode_snapshot` wrote.
+    """Decode a snapshot that :func:`encode_snapshot` encoded.
 
     Raises
     ------
     msgspec.DecodeError
-        If the payload is none of ours.
+        If the payload is not a snapshot.
     """
     return msgspec.json.decode(payload, type=Snapshot)
 
 
 def choose(snapshots: Iterable[Snapshot]) -> Snapshot | None:
-    """Return the snapshot that a joiner starts from."""
-    return max(snapshots, key=lambda found: found.rank, default=None)
+    """Return the snapshot that a new process starts from, or None if there is none."""
+    return max(snapshots, key=lambda snapshot: snapshot.rank, default=None)
 
 
 __all__ = ('Snapshot', 'choose', 'decode_snapshot', 'encode_snapshot')
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/state.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/state.py
@@ -1,4 +1,4 @@
-"""What every process that folded the same prefix of the log knows."""
+"""State that is folded from the control log, the same for all readers of a prefix."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class Lease(NamedTuple):
-    """Who may act for ``name``.
+    """Lease and its current holder.
 
     Parameters
     ----------
     holder
-        The incarnation that claimed it.
+        Incarnation of the process that claimed it.
     fence
-        Offset of the claim: the fencing number of all that it orders.
+        Offset of the claim: the fencing number of all orders under it.
     renewed
-        Offset of the claim or of the newest renewal.
+        Offset of the newest renewal, or of the claim if there is none.
     """
 
     holder: str
@@ -28,7 +28,7 @@
 
 
 class StandingOrder(NamedTuple):
-    """The newest valid order for one runner."""
+    """Newest accepted order for one runner, done or not."""
 
     offset: int
     fleet: str
@@ -41,7 +41,7 @@
 
 
 class Change(NamedTuple):
-    """One accepted change of configuration or preset, for the operators."""
+    """One accepted change of configuration or preset, shown to operators."""
 
     version: int
     offset: int
@@ -50,7 +50,27 @@
 
 
 class State(NamedTuple):
-    """The fold up to and including ``offset``."""
+    """State after all records up to and including ``offset``.
+
+    Parameters
+    ----------
+    offset
+        Offset of the last record.
+    version
+        Configuration version; it grows with each accepted change.
+    preset
+        Name of the preset in force.
+    configuration
+        JSON document in force.
+    leases
+        Lease by name.
+    orders
+        Newest order by runner.
+    writers
+        Newest serial of each writer and the offset of its record.
+    changes
+        The newest accepted changes, oldest first.
+    """
 
     offset: int = NEVER
     version: int = 0
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/verdict.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/verdict.py
@@ -1,4 +1,4 @@
-"""What the fold decides about one record."""
+"""Outcomes of one record of the control log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The record is void for everybody, for ever."""
+    """The record has no effect, for any reader of the log."""
 
     tag: ClassVar[str] = 'rejected'
     offset: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Repeated:
-    """The record was on the log before; this copy has no effect."""
+    """The record is a copy of an earlier one and has no effect."""
 
     tag: ClassVar[str] = 'repeated'
     offset: int
--- a/packages/sesamepoint-core/src/sesamepoint_core/keys/fold.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/keys/fold.py
@@ -1,4 +1,4 @@
-"""The fold over one shard's stream of claims."""
+"""Claims on idempotency keys, folded from the log stream of one shard."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Claim(NamedTuple):
-    """One request's claim on its key.
+    """Claim of one request on its idempotency key.
 
     Parameters
     ----------
     key
-        Hash of account and key.
+        Hash of the account and the idempotency key.
     owner
-        Identity of the request that claims.
+        Identity of the claiming request.
     digest
-        Hash of what was asked, to tell a key that is used twice over.
+        Hash of the request, to detect a key that is reused for another one.
     """
 
     key: str
@@ -31,9 +31,20 @@
 
 
 class Batch(NamedTuple):
-    """Claims and releases that one home gathered.
+    """Claims and releases that a process that owns the shard wrote as one record.
 
-    ``at`` is the writer's wall clock in seconds; ``serial`` its count.
+    Parameters
+    ----------
+    writer
+        Incarnation of the writing process.
+    serial
+        Number that the writer counts up; a repeated append carries the same number.
+    at
+        Wall clock time of the writer, in seconds.
+    claims
+        New claims.
+    releases
+        Pairs of key and owner that are given up.
     """
 
     writer: str
@@ -44,39 +55,40 @@
 
 
 class KeyFold:
-    """Which request owns which key; the first claim on the log wins.
+    """Owner of each key: the request whose claim comes first on the log.
 
-    Every home that folds the shard's stream comes to the same answer, so
-    two homes at once, or one that took over, cannot both let a key run.
+    Every process that reads the shard's stream gets the same owners, so two
+    processes that own the shard at once, or one after the other, cannot both
+    let requests with the same key run.
     """
 
     def __init__(self) -> None:
-        """Start before the first batch."""
+        """Start with no claims, before the first record."""
         self.offset = NEVER
         self._claims: OrderedDict[str, tuple[Claim, float]] = OrderedDict()
         self._serials: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Count the keys that are held."""
+        """Return the number of claimed keys."""
         return len(self._claims)
 
     def owner(self, key: str, at: float) -> Claim | None:
-        """Return the claim that holds ``key`` at time ``at``."""
+        """Return the claim on ``key`` that is valid at a wall clock time in seconds, or None."""
         claim, claimed_at = self._claims.get(key, (None, 0))
         return claim if at - claimed_at <= KEY_LIFE_S else None
 
     def apply(self, offset: int, payload: bytes) -> Batch:
-        """Fold one batch.
+        """Apply one encoded batch.
 
         Raises
         ------
         msgspec.DecodeError
-            If the payload is none of ours.
+            If the payload is not a batch.
         """
         batch = msgspec.json.decode(payload, type=Batch)
         self.offset = offset
-        # The second copy of a batch whose reply was lost must not claim
-        # again what was released in between.
+        # A batch is appended again if the reply was lost. The second copy must
+        # not claim keys again that were released in between.
         if batch.serial > self._serials.get(batch.writer, 0):
             self._serials[batch.writer] = batch.serial
             self._take(batch)
@@ -101,7 +113,7 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the bytes to append."""
+    """Return the encoded batch to append."""
     return msgspec.json.encode(batch)
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/capacity.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/capacity.py
@@ -1,4 +1,4 @@
-"""How much of an offered load a fleet can answer in time."""
+"""Estimate of the requests that a fleet can't answer in time at given role counts."""
 
 from __future__ import annotations
 
@@ -19,34 +19,37 @@
 
 
 class Load(NamedTuple):
-    """Offered load by class: the main job, and the small ones."""
+    """Offered demand by class: requests of the main job, and small ones."""
 
     main: Demand
     small: Demand
 
 
 def late_rate(engine: EngineConfig, counts: Mapping[Role, int], load: Load) -> float:
-    """Return the answers per second that would be late or refused.
+    """Return how many requests per second would be answered late or refused.
 
-    A fluid model: each role can answer so many requests of a class a second,
-    as its steps cost time and a full batch slows its answers. The main job
-    is placed first, on the roles that are relatively best at it; the small
-    jobs get what is left.
+    This is a fluid model: a runner has a service rate for each role and
+    class of requests, which follows from the time of its steps; a full batch
+    slows its answers. The main job is allocated first, to the roles with the
+    highest service rate for it relative to that for small requests. The
+    small requests get the remaining runners.
     """
-    able = {role: (rate(engine, role, load.main), rate(engine, role, load.small)) for role in counts}
-    order = sorted(counts, key=lambda role: -able[role][0] / max(able[role][1], TINY))
+    service_rates = {role: (rate(engine, role, load.main), rate(engine, role, load.small)) for role in counts}
+    order = sorted(counts, key=lambda role: -service_rates[role][0] / max(service_rates[role][1], TINY))
     runners: dict[Role, float] = {role: float(counts[role]) for role in counts}
-    late_main = _place(load.main.requests, runners, order, {role: able[role][0] for role in counts})
-    late_small = _place(load.small.requests, runners, tuple(reversed(order)), {role: able[role][1] for role in counts})
+    late_main = _place(load.main.requests, runners, order, {role: service_rates[role][0] for role in counts})
+    late_small = _place(
+        load.small.requests, runners, tuple(reversed(order)), {role: service_rates[role][1] for role in counts}
+    )
     return late_main + late_small
 
 
 def rate(engine: EngineConfig, role: Role, work: Demand) -> float:
-    """Return how many requests of a class one runner can answer a second.
+    """Return how many requests of a class one runner can answer per second.
 
-    The fuller a runner is with prompts, the longer its steps and so the
-    time between two tokens; the answer is the fullest that still keeps
-    the deadline.
+    A higher utilization makes the steps of an engine longer, and so the time
+    between two tokens. The rate is that of the highest utilization at which
+    an average request still meets its deadline; 0 if there is none.
     """
     if not work.requests:
         return 0
@@ -56,9 +59,9 @@
     steps = max(prompt / profile['chunk_tokens'], output / profile['max_running'])
     busy_s = steps * engine['base_step_s'] + prompt * engine['prefill_token_s'] + output * engine['decode_answer_s']
     for step in range(STEPS, 0, -1):
-        full = FULL * step / STEPS
-        if _finish_s(engine, role, (prompt, output), full) <= work.timeout_s * USABLE_TIMEOUT:
-            return full / busy_s
+        utilization = FULL * step / STEPS
+        if _finish_s(engine, role, (prompt, output), utilization) <= work.timeout_s * USABLE_TIMEOUT:
+            return utilization / busy_s
     return 0
 
 
@@ -78,12 +81,12 @@
     order: Sequence[Role],
     able: Mapping[Role, float],
 ) -> float:
-    """Use runners up for ``requests`` a second; return what found no place."""
+    """Allocate runners to requests in the given order of roles and return the rate left over."""
     for role in order:
         if able[role] > 0:
-            used = min(runners[role], requests / able[role])
-            runners[role] -= used
-            requests -= used * able[role]
+            allocated = min(runners[role], requests / able[role])
+            runners[role] -= allocated
+            requests -= allocated * able[role]
     return max(requests, 0)
 
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
@@ -1,4 +1,4 @@
-"""Offered work over two horizons, as sums that add up across entries."""
+"""Demand that callers offer, averaged over a short and a long horizon."""
 
 from __future__ import annotations
 
@@ -9,11 +9,21 @@
 
 
 class Demand(NamedTuple):
-    """Work of one class that callers asked for, per second.
-
-    Sums of several entries' demands are the demand of all. What was refused
-    counts as well: fed by what got through, a planner under overload would
-    see no more than the present roles can do, and leave them so.
+    """Demand of one class of requests, per second.
+
+    The demands of several instances add up to the demand of all.
+    Requests that were refused count too. If only served requests counted, the
+    planner would see no more than the capacity of the present roles under
+    overload, and would never change them.
+
+    Parameters
+    ----------
+    requests
+        Requests per second.
+    prompt_tokens, output_tokens
+        Tokens per second.
+    timeouts_s
+        Sum of the requests' timeouts, in seconds per second.
     """
 
     requests: float = 0
@@ -22,23 +32,30 @@
     timeouts_s: float = 0
 
     def plus(self, other: Demand) -> Demand:
-        """Return the sum."""
-        return Demand(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
+        """Return the sum of both demands."""
+        return Demand(*(left + right for left, right in zip(self, other, strict=True)))
 
     def times(self, factor: float) -> Demand:
-        """Return a multiple."""
+        """Return the demand multiplied by ``factor``."""
         return Demand(*(figure * factor for figure in self))
 
     @property
     def timeout_s(self) -> float:
-        """Mean seconds that callers give."""
+        """Mean timeout of the requests, in seconds."""
         return self.timeouts_s / self.requests if self.requests else 0
 
 
 class Offered(NamedTuple):
-    """The demand on one fleet: main and small jobs, short and long horizon.
-
-    ``entries`` is how many entries the figures are of.
+    """Demand on one fleet: main job and small requests, short and long horizon.
+
+    Parameters
+    ----------
+    main_short, main_long
+        Demand of the main job.
+    small_short, small_long
+        Demand of small requests.
+    entries
+        Number of instances whose demand is summed up here.
     """
 
     main_short: Demand = Demand()
@@ -48,7 +65,7 @@
     entries: float = 0
 
     def plus(self, other: Offered) -> Offered:
-        """Return the sum."""
+        """Return the sum of both demands."""
         return Offered(
             self.main_short.plus(other.main_short),
             self.main_long.plus(other.main_long),
@@ -58,7 +75,7 @@
         )
 
     def times(self, factor: float) -> Offered:
-        """Return a multiple."""
+        """Return the demand multiplied by ``factor``."""
         return Offered(
             self.main_short.times(factor),
             self.main_long.times(factor),
@@ -69,39 +86,39 @@
 
 
 class Decaying:
-    """A demand per second that fades with a time constant."""
+    """Exponentially decaying average of a demand per second."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with no demand."""
         self._rate = Demand()
         self._at: float = 0
 
     def add(self, now: float, work: Demand, horizon_s: float) -> None:
-        """Count one request's work."""
+        """Add the demand of one request at time ``now``, in seconds."""
         self._rate = self.read(now, horizon_s).plus(work.times(1 / horizon_s))
         self._at = now
 
     def read(self, now: float, horizon_s: float) -> Demand:
-        """Return the demand per second as of ``now``."""
+        """Return the demand per second at time ``now``, in seconds."""
         return self._rate.times(math.exp((self._at - now) / horizon_s))
 
 
 class Meter:
-    """What one entry was asked for by the callers of one fleet."""
+    """Meter of the demand that one instance receives for one fleet."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with no demand."""
         self._main = (Decaying(), Decaying())
         self._small = (Decaying(), Decaying())
 
     def add(self, now: float, work: Demand, horizon_s: float, *, urgent: bool) -> None:
-        """Count one request's work, refused or not."""
+        """Add the demand of one request, refused or not; urgent ones are of the main job."""
         short, long = self._main if urgent else self._small
         short.add(now, work, horizon_s * SHORT_SHARE)
         long.add(now, work, horizon_s)
 
     def read(self, now: float, horizon_s: float) -> Offered:
-        """Return the demand per second as of ``now``."""
+        """Return the demand per second at time ``now``, in seconds."""
         short_s = horizon_s * SHORT_SHARE
         return Offered(
             self._main[0].read(now, short_s),
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/planner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/planner.py
@@ -1,4 +1,4 @@
-"""Scoring role changes in one currency: answers late or refused."""
+"""Planning policies: choose role changes by the number of late or refused answers they save."""
 
 from __future__ import annotations
 
@@ -19,9 +19,19 @@
 
 
 class RunnerState(NamedTuple):
-    """One runner as the planner sees it.
-
-    ``changing`` covers standing orders as well as changes under way.
+    """State of one runner, as input of the planner.
+
+    Parameters
+    ----------
+    name, role, availability_zone
+        Name of the runner, its present role and its zone.
+    usable
+        Whether the runner is eligible for requests.
+    changing
+        Whether a role change is ordered or in progress.
+    backlog
+        Prompt tokens that wait at the runner; of runners in equally large
+        zones the one with the smallest backlog is changed.
     """
 
     name: str
@@ -33,7 +43,7 @@
 
 
 class FleetView(NamedTuple):
-    """All that a planning decision rests on."""
+    """Input of a planning decision for one fleet."""
 
     cfg: FleetConfig
     engine: EngineConfig
@@ -43,10 +53,18 @@
 
 
 class Alternative(NamedTuple):
-    """One change that was weighed.
-
-    ``saved`` and ``price`` are in answers late or refused over the time
-    that the new role is expected to stay.
+    """A possible role change and its score.
+
+    Parameters
+    ----------
+    runner, role
+        Runner to change and its new role.
+    saved
+        Late or refused answers that the change avoids while the new role is
+        expected to stay.
+    price
+        Late or refused answers during the change, plus the preset's weight of
+        a role change.
     """
 
     runner: str
@@ -56,12 +74,12 @@
 
     @property
     def score(self) -> float:
-        """What the change is worth beyond its price."""
+        """Saved answers less the price."""
         return self.saved - self.price
 
 
 class Plan(NamedTuple):
-    """What was decided and why; ``chosen`` is None to leave all as it is."""
+    """Decision and its reason; ``chosen`` is None if no role changes."""
 
     chosen: Alternative | None
     alternatives: tuple[Alternative, ...]
@@ -69,10 +87,10 @@
 
 
 class Planner(Protocol):
-    """Decides on at most one change."""
+    """Planning policy that decides on at most one role change."""
 
     def __call__(self, view: FleetView) -> Plan:
-        """Return the plan for what is seen now."""
+        """Return the plan for one fleet."""
 
 
 PLANNERS: Registry[Planner] = Registry('planning policy')
@@ -80,16 +98,21 @@
 
 @PLANNERS.register('worthwhile')
 def worthwhile_change(view: FleetView) -> Plan:
-    """Make the change that saves most beyond its price, if any does.
+    """Choose the change with the highest score, if that is above zero.
 
-    A change must pay over both horizons: a swing shows in the short one
-    only, the end of a long state in the long one only.
+    ``saved`` is the lower value of the two horizons, so that a change must be
+    worth its price in both. A brief swing shows in the short horizon only;
+    when a long phase has ended, the long horizon alone still shows it.
     """
     if sum(runner.changing for runner in view.runners) >= view.preset['max_changing']:
-        return Plan(None, (), 'as many runners are changing as the preset allows')
-    alternatives = tuple(sorted(_alternatives(view), key=lambda found: -found.score))
+        return Plan(None, (), 'the preset allows no more role changes at once')
+    alternatives = tuple(sorted(_alternatives(view), key=lambda alternative: -alternative.score))
     if not alternatives:
-        return Plan(None, (), 'floors and readiness leave no change open')
+        return Plan(
+            None,
+            (),
+            'no role change is possible: roles are at their floors, or runners are not ready or already changing',
+        )
     best = alternatives[0]
     if best.score <= 0:
         return Plan(
@@ -101,12 +124,12 @@
 
 @PLANNERS.register('never')
 def no_change(view: FleetView) -> Plan:
-    """Leave all roles as they are: the baseline of a fixed split."""
+    """Change no role: the baseline for experiments."""
     return Plan(None, (), f'roles of {len(view.runners)} runners are fixed')
 
 
 def role_counts(view: FleetView, without: str = '') -> Counts:
-    """Count the usable runners of each role, but for one."""
+    """Return the number of eligible runners of each role, not counting the runner ``without``."""
     counts: Counts = dict.fromkeys(view.engine['profiles'], 0)
     for runner in view.runners:
         if runner.usable and runner.name != without and runner.role in counts:
@@ -115,28 +138,28 @@
 
 
 def _alternatives(view: FleetView) -> Iterator[Alternative]:
-    now = role_counts(view)
-    for role in sorted(set(now)):
+    counts = role_counts(view)
+    for role in sorted(set(counts)):
         runner = _least_missed(view, role)
-        if runner is None or now[role] <= view.cfg['floors'].get(role, 0):
+        if runner is None or counts[role] <= view.cfg['floors'].get(role, 0):
             continue
-        for target in sorted(set(now) - {role}):
+        for target in sorted(set(counts) - {role}):
             yield _weigh(view, runner, target)
 
 
 def _least_missed(view: FleetView, role: Role) -> RunnerState | None:
-    fit = [runner for runner in view.runners if runner.role == role and runner.usable and not runner.changing]
+    eligible = [runner for runner in view.runners if runner.role == role and runner.usable and not runner.changing]
     zones = [runner.availability_zone for runner in view.runners if runner.role == role]
-    return min(fit, key=lambda runner: (-zones.count(runner.availability_zone), runner.backlog), default=None)
+    return min(eligible, key=lambda runner: (-zones.count(runner.availability_zone), runner.backlog), default=None)
 
 
 def _weigh(view: FleetView, runner: RunnerState, target: Role) -> Alternative:
-    gap = role_counts(view, without=runner.name)
-    after = {**gap, target: gap[target] + 1}
+    during = role_counts(view, without=runner.name)
+    after = {**during, target: during[target] + 1}
     saved = min(_saved(view, after, load) for load in _loads(view.offered))
-    gap_s = view.engine['role_change_s'] + DRAIN_S
-    missed = max(-_saved(view, gap, _loads(view.offered)[0]), 0) * gap_s
-    return Alternative(runner.name, target, saved * STAY_S, missed + view.preset['role_change_weight'])
+    change_s = view.engine['role_change_s'] + DRAIN_S
+    late = max(-_saved(view, during, _loads(view.offered)[0]), 0) * change_s
+    return Alternative(runner.name, target, saved * STAY_S, late + view.preset['role_change_weight'])
 
 
 def _saved(view: FleetView, after: Counts, load: Load) -> float:
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/candidate.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/candidate.py
@@ -1,4 +1,4 @@
-"""What an entry knows of a runner when it has to choose."""
+"""Input and output of a routing choice: candidates, the request, estimates."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Candidate(NamedTuple):
-    """A runner that could take a request now.
+    """A runner that is eligible for a request.
 
     Parameters
     ----------
     runner
-        Its name.
+        Name of the runner.
     same_zone
-        Whether it stands in the entry's availability zone.
+        Whether it is in the availability zone of this instance.
     load
-        What it reported, plus what the entry sent since.
+        Load that it reported, plus what this instance has sent since.
     pace
-        Observed over expected times, lately, for this class of work.
+        Recent ratio of observed to expected times for this class of requests.
     """
 
     runner: str
@@ -30,10 +30,23 @@
 
 
 class Need(NamedTuple):
-    """What a request asks for.
+    """Properties of a request that matter for routing.
 
-    ``timeout_s`` is what is left until its deadline; ``prefix`` names the
-    head of its prompt that others may share.
+    Parameters
+    ----------
+    prompt_tokens
+        Length of the prompt, in tokens.
+    output_tokens
+        Maximum length of the answer, in tokens.
+    timeout_s
+        Seconds left until the deadline.
+    urgent
+        Whether it belongs to the main job.
+    prefix
+        Name of the prefix block of the prompt that other requests may share;
+        empty if there is none.
+    prefix_tokens
+        Length of that prefix, in tokens.
     """
 
     prompt_tokens: int
@@ -45,9 +58,16 @@
 
 
 class Estimate(NamedTuple):
-    """What a request would cost at a runner, in seconds.
+    """Expected times of a request at one runner, in seconds from now.
 
-    ``delay_s`` is what it would add to the answers of others.
+    Parameters
+    ----------
+    first_token_s
+        Time to the first token.
+    finish_s
+        Time to the end of the answer.
+    delay_s
+        Delay that it adds to the other answers at the runner, summed up.
     """
 
     first_token_s: float
@@ -56,7 +76,7 @@
 
 
 class Choice(NamedTuple):
-    """A runner, what it was thought to need, and who else was looked at."""
+    """The chosen runner, its estimate, and the other runners with their scores."""
 
     runner: str
     estimate: Estimate
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/choose.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/choose.py
@@ -1,4 +1,4 @@
-"""Registered ways to pick a runner among candidates."""
+"""Routing policies: each chooses a runner for a request from the candidates."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Chooser(Protocol):
-    """Picks one of at least one candidates."""
+    """Routing policy; there is at least one candidate."""
 
     def __call__(self, candidates: Sequence[Candidate], need: Need, rng: Random) -> Choice:
-        """Return the choice and what it was weighed against."""
+        """Return the chosen runner and the alternatives."""
 
 
 CHOOSERS: Registry[Chooser] = Registry('routing policy')
@@ -29,43 +29,44 @@
 
 @CHOOSERS.register('soonest')
 def soonest_of_sample(candidates: Sequence[Candidate], need: Need, rng: Random) -> Choice:
-    """Pick the soonest to finish among a few drawn at random.
+    """Choose the runner that would finish first, from a random sample.
 
-    Reports are stale and all entries read the same ones. If each took the
-    best of all, they would herd onto one runner until its report caught up;
-    drawing a few first keeps them apart.
+    Load reports are stale, and all instances see the same ones. If each chose
+    from all runners, they would all send to the same one until its report
+    showed the load. A random sample spreads them.
     """
-    drawn = rng.sample(candidates, min(SAMPLE, len(candidates)))
-    estimates = {found.runner: estimate(found, need) for found in drawn}
+    sampled = rng.sample(candidates, min(SAMPLE, len(candidates)))
+    estimates = {candidate.runner: estimate(candidate, need) for candidate in sampled}
     best = min(estimates, key=lambda runner: estimates[runner].finish_s)
-    others = tuple((name, guess.finish_s) for name, guess in estimates.items() if name != best)
+    others = tuple((name, expected.finish_s) for name, expected in estimates.items() if name != best)
     return Choice(best, estimates[best], others)
 
 
 @CHOOSERS.register('least-delay')
 def least_delay_of_sample(candidates: Sequence[Candidate], need: Need, rng: Random) -> Choice:
-    """Pick the least delay to all: to this answer and to those it joins.
-
-    Drawn at random first, for the reason given above. A long prompt goes
-    where few answers run, and a long answer where few prompts wait, without
-    a rule that names roles. Some that hold the prompt's prefix are looked at
-    as well; they save its work, unless the queue there costs more. If none
-    of those would be in time, all are looked at before the request is
-    refused.
+    """Choose the runner with the least total delay, for this answer and those that run there.
+
+    A random sample is used so that instances don't all choose the same runner.
+    A long prompt goes to a runner with few running answers, and a long answer
+    to one with few waiting prompts, without a rule for roles. The sample is
+    extended by some runners that have the prompt's prefix in their cache: they
+    skip its prefill, which may outweigh a longer queue. If none of these
+    would meet the deadline, all candidates are considered before the request
+    is refused.
     """
-    drawn = rng.sample(candidates, min(SAMPLE, len(candidates)))
-    holders = [found for found in candidates if found not in drawn and cached_tokens(found.load, need)]
-    choice = _least_delay([*drawn, *holders[:SAMPLE]], need)
+    sampled = rng.sample(candidates, min(SAMPLE, len(candidates)))
+    prefix_holders = [one for one in candidates if one not in sampled and cached_tokens(one.load, need)]
+    choice = _least_delay([*sampled, *prefix_holders[:SAMPLE]], need)
     if choice.estimate.finish_s <= need.timeout_s:
         return choice
     return _least_delay(candidates, need)
 
 
 def _least_delay(candidates: Sequence[Candidate], need: Need) -> Choice:
-    estimates = {found.runner: estimate(found, need) for found in candidates}
-    in_time = [runner for runner, guess in estimates.items() if guess.finish_s <= need.timeout_s]
+    estimates = {candidate.runner: estimate(candidate, need) for candidate in candidates}
+    in_time = [runner for runner, expected in estimates.items() if expected.finish_s <= need.timeout_s]
     best = min(in_time or estimates, key=lambda runner: _cost(estimates[runner]))
-    others = tuple((name, _cost(guess)) for name, guess in estimates.items() if name != best)
+    others = tuple((name, _cost(expected)) for name, expected in estimates.items() if name != best)
     return Choice(best, estimates[best], others)
 
 
@@ -75,9 +76,9 @@
 
 @CHOOSERS.register('random')
 def any_of_all(candidates: Sequence[Candidate], need: Need, rng: Random) -> Choice:
-    """Pick at random: the baseline that knows nothing."""
-    found = rng.choice(candidates)
-    return Choice(found.runner, estimate(found, need), ())
+    """Choose at random, whatever the load is: the baseline for comparisons."""
+    chosen = rng.choice(candidates)
+    return Choice(chosen.runner, estimate(chosen, need), ())
 
 
 __all__ = ('CHOOSERS', 'Chooser')
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/estimate.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/estimate.py
@@ -1,4 +1,4 @@
-"""How long a runner would take for a request."""
+"""Estimates of how long a runner would take for a request."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 def estimate(candidate: Candidate, need: Need) -> Estimate:
-    """Return the expected times, in seconds from now."""
+    """Return the expected times of a request at a runner, in seconds from now."""
     load = candidate.load
     rate = max(load.prefill_rate, MIN_RATE)
     new_tokens = need.prompt_tokens - cached_tokens(load, need)
-    ahead = load.urgent_tokens if need.urgent else load.waiting_tokens
+    queued_tokens = load.urgent_tokens if need.urgent else load.waiting_tokens
     hop_s = 0 if candidate.same_zone else ZONE_HOP_S
-    first_token_s = hop_s + (ahead + new_tokens) / rate + _slot_wait_s(load, need)
-    # Its prompt shares steps with the answers that run there: each of them
-    # waits as long as the prompt takes.
+    first_token_s = hop_s + (queued_tokens + new_tokens) / rate + _slot_wait_s(load, need)
+    # The prompt shares the engine's steps with the running answers, so each
+    # of them is delayed by the time that the prompt takes.
     delay_s = min(load.running, load.slots) * new_tokens / rate
     finish_s = first_token_s + need.output_tokens * load.token_s
     return Estimate(first_token_s * candidate.pace, finish_s * candidate.pace, delay_s)
 
 
 def cached_tokens(load: UpstreamLoad, need: Need) -> int:
-    """Return the prompt tokens that a runner need not work through."""
+    """Return how many tokens of the prompt the runner has in its cache."""
     if need.prefix and need.prefix in load.prefixes:
         return min(need.prefix_tokens, need.prompt_tokens)
     return 0
 
 
 def _slot_wait_s(load: UpstreamLoad, need: Need) -> float:
-    """Return the wait for a place in the batch, if all are taken.
+    """Return the expected wait for a slot in seconds; 0 if one is free.
 
-    The answers ahead are taken to be as long as this one and to be spread
-    evenly over their course.
+    The answers before this one are assumed to be as long as this one, and
+    their progress to be spread evenly.
     """
-    over = load.running + load.waiting + 1 - load.slots
-    if over <= 0 or not load.slots:
+    excess = load.running + load.waiting + 1 - load.slots
+    if excess <= 0 or not load.slots:
         return 0
-    return over * need.output_tokens * load.token_s / load.slots
+    return excess * need.output_tokens * load.token_s / load.slots
 
 
 __all__ = ('cached_tokens', 'estimate')
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/load.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/load.py
@@ -1,4 +1,4 @@
-"""An upstream's load, as it reports it."""
+"""Load that an upstream reports."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class UpstreamLoad(NamedTuple):
-    """An upstream's own report; it trails reality.
+    """Load report of an upstream; the real load may have changed since.
 
     Parameters
     ----------
     role
-        Role that is really loaded; empty for plain services.
+        Role that the upstream actually runs in; empty for plain services.
     changing
-        Whether a role change is under way.
+        Whether a role change is in progress.
     waiting_tokens, urgent_tokens
-        Prompt tokens not yet prefilled, and those of them that are urgent.
+        Prompt tokens not yet prefilled, and how many of them are of urgent requests.
     waiting
-        Requests that these tokens belong to.
+        Number of requests that these tokens belong to.
     running
-        Answers being generated.
+        Number of answers being generated.
     prefill_rate
-        Prompt tokens a second at the role's chunk size.
+        Prompt tokens per second at the role's chunk size.
     token_s
-        Seconds between two tokens of an answer, lately.
+        Recent time between two tokens of an answer, in seconds.
     slots
-        Answers that can be generated at once.
+        Number of answers that can be generated at once.
     prefixes
-        Shared heads of prompts that its cache holds, as far as it told.
+        Names of shared prompt prefixes that it reported to be in its cache.
     """
 
     role: str
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/pace.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/pace.py
@@ -1,4 +1,4 @@
-"""How a runner's answers compare to what was expected of them."""
+"""Correction of expected times by the observed ones of a runner."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class Pace:
-    """A factor from observed over expected times, which fades to one.
+    """Moving average of the ratio of observed to expected times, which decays to one.
 
-    Reports cannot tell all: a runner may be slow for a reason it does not
-    see, and small jobs are overtaken by urgent ones that come later. What
-    was observed corrects what is expected next. Since the factor fades, a
-    runner that was shunned is tried again after a while.
+    Load reports are incomplete: a runner may be slow for a reason that it
+    does not notice, and urgent requests that arrive later overtake small ones.
+    Observed times therefore correct the next estimates. Because the factor
+    decays, a runner that was avoided is tried again after some time.
     """
 
     def __init__(self) -> None:
-        """Start at one."""
+        """Start with a factor of one."""
         self._log_factor: float = 0
         self._at: float = 0
 
     def observe(self, now: float, expected_s: float, took_s: float) -> None:
-        """Learn from one answer, or from one given up at its deadline."""
+        """Update the factor after an answer, or after a request given up at its deadline; times are in seconds."""
         ratio = math.log(max(took_s, MIN_S) / max(expected_s, MIN_S))
         bounded = min(max(ratio, MIN_LOG_RATIO), MAX_LOG_RATIO)
         self._log_factor = self._faded(now) + LEARNING * bounded
         self._at = now
 
     def factor(self, now: float) -> float:
-        """Return what to multiply expected times by."""
+        """Return the factor to multiply expected times by."""
         return math.exp(self._faded(now))
 
     def _faded(self, now: float) -> float:
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
@@ -1,4 +1,4 @@
-"""Which runners of a large fleet an entry keeps an eye on."""
+"""Subset of the runners of a large fleet that one instance uses."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 WHOLE_FLEET = 16
 SUBSET = 6
 CRC_BITS = 32
-# One more than the largest hash.
+# Number of hash values.
 _HASHES = 1 << CRC_BITS
 
 
 def subset(entry: str, runners: Sequence[str]) -> tuple[str, ...]:
-    """Return the runners of one fleet that ``entry`` knows.
-
-    A small fleet is known whole. Of a large one each entry ranks all runners
-    by a hash of both names and takes the first few: every runner is then
-    known to its share of the entries, and one that comes or goes moves no
-    other. Known in full, 600 runners would cost an entry some hundred times
-    its share of processor and network (docs/CAPACITY.md).
+    """Return the runners of one fleet that the instance ``entry`` uses.
+
+    Of a small fleet, all are used. Of a large one, an instance uses the few
+    runners with the lowest hashes of both names (rendezvous hashing). Each
+    runner is then used by its share of the instances, and a runner that is
+    added or removed doesn't change the choice among the others. To use all of
+    600 runners would cost an instance about a hundred times its share of
+    processor time and network (docs/CAPACITY.md).
     """
     if len(runners) <= WHOLE_FLEET:
         return tuple(runners)
@@ -30,10 +31,11 @@
 
 
 def is_known(entry: str, runner: str, fleet_size: int, known: int) -> bool:
-    """Tell whether ``entry`` knows ``runner``: all of a fleet of ``known``, else about so many.
+    """Tell whether the instance ``entry`` uses ``runner``.
 
-    Unlike :func:`subset` this needs no list of the fleet, so that each entry
-    can tell of any other what it knows.
+    Of a fleet of up to ``known`` runners, all are used; of a larger one, about
+    ``known``. Unlike :func:`subset` this needs no list of the fleet, so each
+    instance can compute it for any peer.
     """
     if fleet_size <= known:
         return True
