--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,7 +1,7 @@
-"""What each mechanism of the front is worth in the burst of tests/front/burst.py.
+"""Ablation benchmark: the burst of tests/front/burst.py without one mechanism of the front at a time.
 
-One after the other is switched off by a patch, on the same seeds: ``make
-ablation FIRST=1 LAST=5``. The patches are the seams; the product has no flags.
+Each mechanism is disabled by a patch, on the same seeds, since the product has
+no flags for it. Run: ``make ablation FIRST=1 LAST=5``.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Row(NamedTuple):
-    """What callers saw without one mechanism, in hundredths; ``unanswered`` is a count a seed."""
+    """Share of requests that were on time, served or refused, in percent; ``unanswered`` is a count per seed."""
 
     long_on_time: float
     long_served: float
@@ -48,12 +48,12 @@
 
 
 def main() -> None:
-    """Print the table: a line with everything, then one without each mechanism."""
+    """Print a row with all mechanisms enabled, then one row without each of them."""
     first, last = (int(text) for text in sys.argv[1:3])
     seeds = range(first, last + 1)
     _say(_line('without', [f'{name:>18}' for name in Row._fields]))
-    everything = _mean([_play(seed) for seed in seeds])
-    _show('(nothing)', everything)
+    baseline = _mean([_play(seed) for seed in seeds])
+    _show('(nothing)', baseline)
     for name in SWITCHES:
         with _without(SWITCHES.get(name)):
             _show(name, _mean([_play(seed) for seed in seeds]))
@@ -72,13 +72,13 @@
         PERCENT * served(long, LONG_TARGET_S),
         PERCENT * served(long, math.inf),
         PERCENT * served(short, SHORT_TARGET_S),
-        PERCENT * sum(one.seen.status == REFUSED for one in long) / len(long),
+        PERCENT * sum(request.seen.status == REFUSED for request in long) / len(long),
         _unanswered([*long, *short]),
     )
 
 
-def _unanswered(found: list[Answered]) -> int:
-    return sum(not one.seen.whole for one in found)
+def _unanswered(requests: list[Answered]) -> int:
+    return sum(not request.seen.whole for request in requests)
 
 
 def _mean(rows: list[Row]) -> Row:
--- a/benchmarks/fit.py
+++ b/benchmarks/fit.py
@@ -1,4 +1,4 @@
-"""Fitting a line through measured points."""
+"""Linear regression over measured points."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Point(NamedTuple):
-    """One size and what was measured at it."""
+    """A size and the median of the measurements at it."""
 
     size: int
     measured: float
 
 
 class Line(NamedTuple):
-    """A fitted line; ``fit`` is the square of the correlation."""
+    """A fitted line with its points and the squared correlation."""
 
     name: str
     unit: str
@@ -31,18 +31,18 @@
     points: tuple[Point, ...]
 
     def at(self, size: float) -> float:
-        """Return what the line gives at a size."""
+        """Return the fitted measurement at a size."""
         return self.intercept + self.slope * size
 
     def __str__(self) -> str:
-        """Return the line as one row."""
+        """Format the line and its points as one row of text."""
         points = ' '.join(f'{point.size}:{point.measured:.4g}' for point in self.points)
         line = f'slope {self.slope:.4g} {self.unit}, intercept {self.intercept:.4g}, r2 {self.fit:.3f}'
         return f'{self.name:44} {line} [{points}]'
 
 
 def fit_line(name: str, unit: str, sizes: Sequence[int], measure: Callable[[int], float]) -> Line:
-    """Measure at each size, take medians, and fit."""
+    """Measure several times at each size and fit a line through the medians."""
     points = tuple(Point(size, median(measure(size) for _ in range(REPEATS))) for size in sizes)
     xs = [float(point.size) for point in points]
     ys = [point.measured for point in points]
@@ -52,7 +52,7 @@
 
 
 def processor_s(work: Callable[[], object]) -> float:
-    """Return the processor seconds that ``work`` takes."""
+    """Return the CPU seconds that a call of ``work`` takes, after a garbage collection."""
     gc.collect()
     started = time.process_time()
     work()
--- a/benchmarks/front_slopes.py
+++ b/benchmarks/front_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the front's own work: choices, words of peers, registrations, routes.
+"""CPU time of the front by size: choice of an engine, peer updates, registrations, configurations.
 
 Run: python -m benchmarks.front_slopes
 """
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Print each slope as cost over size."""
+    """Print the time of each operation at several sizes."""
     for count in (10, 60, 600):
         views = tuple(EngineView(f'i{number}', _stage(number), 0.01 * number, 3000 + number) for number in range(count))
         _say(f'choice among {count} engines: {_cost(partial(best_path, views, SPEEDS, 17_000)):.0f} us')
@@ -61,7 +61,7 @@
         ends = tuple(End(number, 'i-0', finished=True) for number in range(count))
         datagram = msgspec.msgpack.encode(Word('front-2', sends, ends))
         taken = _cost(partial(_take_in, notes, datagram))
-        _say(f'word with {count} sends and ends: {len(datagram)} bytes, {taken:.0f} us to take in')
+        _say(f'update with {count} sends and ends: {len(datagram)} bytes, {taken:.0f} us to apply')
 
 
 def _take_in(notes: SendNotes, datagram: bytes) -> None:
--- a/benchmarks/limit_ways.py
+++ b/benchmarks/limit_ways.py
@@ -1,4 +1,6 @@
-"""Ways to share the limit of a runner between instances, on the same demand, faults and seeds.
+"""Comparison of strategies that share a runner's rate limit between instances.
+
+All strategies get the same demand, faults and seeds.
 
 Run: python -m benchmarks.limit_ways [SEEDS]
 """
@@ -30,14 +32,14 @@
 BEGIN_S = 5.0
 SETTLE_S = 5.0
 LENGTH_S = 20.0
-# A send counts for so long at those that were told of it.
+# How long a send counts at the instances that it was announced to.
 SEND_S = 1.0
 HEARD_S = 2.0
 DEPLOYMENTS = (('4', 4, 60), ('5', 5, 60), ('31', 31, 60), ('68', 68, 120), ('350', 350, 200))
 
 
 class _Alone:
-    """What the other ways have in common: a belief that is told to all, and permits of a pace."""
+    """Base of the simple strategies: broadcasts the known limit and issues permits at this instance's share of it."""
 
     def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
         self.belief = LimitBelief(start)
@@ -94,11 +96,11 @@
 
 
 class EqualShares(_Alone):
-    """Each instance has an equal part, whether it has requests or not."""
+    """Gives each instance an equal share, whether it has requests or not."""
 
 
 class SharesByDemand(_Alone):
-    """Each instance tells all how many permits it wanted lately, and has a part by that."""
+    """Gives each instance a share in proportion to its recent demand, which it broadcasts."""
 
     def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
         super().__init__(name, runner, start, own_from, phase)
@@ -129,7 +131,7 @@
 
 
 class AllSendsSeen(_Alone):
-    """Each instance tells all of each send, and sends if the sum of the last second has room for it."""
+    """Broadcasts each send; an instance sends while all sends of the last second are below the limit."""
 
     def __init__(self, name: str, runner: str, start: int, own_from: float, phase: float) -> None:
         super().__init__(name, runner, start, own_from, phase)
@@ -179,7 +181,7 @@
 
 
 class Played(NamedTuple):
-    """What became of one play: share of the limit taken, requests over the bound, words and bytes a second."""
+    """Measurements of one run: used share of the limit, requests over the bound, messages per second."""
 
     taken: float
     excess: float
@@ -187,12 +189,12 @@
 
 
 def calm(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
-    """Play an even demand without faults."""
+    """Run with even demand and without faults."""
     return _count(_world(new_way, instances, load, seed))
 
 
 def one_has_all(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
-    """Play with one instance that has nearly all the demand."""
+    """Run with 95 % of the demand at one instance."""
     world = _world(new_way, instances, 0, seed)
     for name, instance in world.instances.items():
         instance.rate = 0.95 * load if name == 'front-2' else 0.05 * load / instances
@@ -200,7 +202,7 @@
 
 
 def moving(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
-    """Play with all the demand at one instance, another one each two seconds."""
+    """Run with all the demand at one instance, which changes every two seconds."""
     world = _world(new_way, instances, 0, seed)
     world.instances['front-0'].rate = load
     world.run(SETTLE_S)
@@ -214,14 +216,14 @@
 
 
 def cut_off(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
-    """Play with one half of the instances cut off from the other half, not from the runner."""
+    """Run with one half of the instances cut off from the other half, but not from the runner."""
     world = _world(new_way, instances, load, seed)
     world.cut(list(world.instances)[: instances // 2])
     return _count(world)
 
 
 def words_lost(new_way: NewWay, instances: int, load: float, seed: int) -> Played:
-    """Play with three words in ten lost."""
+    """Run with 30 % of the messages lost."""
     world = _world(new_way, instances, load, seed)
     world.network.lost = 0.3
     return _count(world)
@@ -231,19 +233,19 @@
 
 
 def main() -> None:
-    """Print a table for each play."""
+    """Print a table for each scenario."""
     seeds = range(1, int(sys.argv[1]) + 1) if len(sys.argv) > 1 else range(1, 3)
     for play in PLAYS:
         sys.stdout.write(
-            f'\n{play.__name__}: taken of the limit, most over the bound (negative: kept), words a second\n'
+            f'\n{play.__name__}: used share of the limit, most over the bound (negative: kept), messages per second\n'
         )
         for name, new_way in WAYS.items():
             cells = []
             for label, instances, load in DEPLOYMENTS:
-                found = [play(new_way, instances, load, seed) for seed in seeds]
-                taken = sum(one.taken for one in found) / len(found)
-                excess = max(one.excess for one in found)
-                words = sum(one.words for one in found) / len(found)
+                runs = [play(new_way, instances, load, seed) for seed in seeds]
+                taken = sum(run.taken for run in runs) / len(runs)
+                excess = max(run.excess for run in runs)
+                words = sum(run.words for run in runs) / len(runs)
                 cells.append(f'{label}: {taken:.2f} {excess:+.0f} {words:.0f}')
             sys.stdout.write(f'  {name}: {"; ".join(cells)}\n')
             sys.stdout.flush()
@@ -259,7 +261,7 @@
 
 
 def _count(world: LimitWorld) -> Played:
-    # What all send before anybody has heard of the limit does not count.
+    # Excludes the requests that were sent before any instance knew the limit.
     world.run(SETTLE_S)
     world.network.words = 0
     since = world.now
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,4 +1,4 @@
-"""What entry and agent add to calling the engine straight: ``make bench``."""
+"""Overhead of the instance and the agent over a direct call of the engine. Run: ``make bench``."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Work(NamedTuple):
-    """One kind of calls: how many, and how many tokens each."""
+    """A kind of call: the number of calls and the tokens of each."""
 
     name: str
     calls: int
@@ -43,7 +43,7 @@
 
 
 class Cost(NamedTuple):
-    """Wall and processor seconds of one kind of calls, all ends together."""
+    """Wall and CPU seconds of all calls of one kind, client and servers together."""
 
     wall_s: float
     processor_s: float
@@ -56,7 +56,7 @@
 
 
 async def measure() -> None:
-    """Measure both ways, one after the other, and print ratios."""
+    """Measure direct and proxied calls, one after the other, and print the ratios."""
     log = MemoryLog()
     instances = MemoryInstances()
     cfg = parse_configuration(msgspec.json.encode(configuration(size=1)))
@@ -78,7 +78,7 @@
 
 
 async def run(work: Work, url: str) -> Cost:
-    """Make the calls, some at once."""
+    """Make the calls, a few of them concurrently, and time them."""
     pool = httpcore.AsyncConnectionPool(max_connections=AT_ONCE)
     limiter = trio.CapacityLimiter(AT_ONCE)
     wall, processor = time.perf_counter(), time.process_time()
@@ -104,7 +104,7 @@
 
 
 def report(work: Work, straight: Cost, through: Cost) -> None:
-    """Print one kind of calls."""
+    """Print rates and CPU times of direct and proxied calls."""
     units = work.calls * work.tokens
     unit = 'token' if work.stream else 'request'
     lines = (
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,4 +1,4 @@
-"""The table of scenarios by policy: ``make policies SEEDS=3``."""
+"""Comparison of the planning policies on all shipped scenarios. Run: ``make policies FIRST=1 LAST=3``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Run(NamedTuple):
-    """One trial's name."""
+    """The key of a trial."""
 
     user: str
     scenario: str
@@ -33,7 +33,7 @@
 
 
 def measure(run: Run) -> Figures:
-    """Run one trial."""
+    """Run one trial and return its figures."""
     trial = trial_of(*run)
     return figures(trial, run_trial(trial))
 
@@ -43,14 +43,14 @@
     cases = [(user, scenario) for user in USERS for scenario in shipped_scenarios(user)]
     runs = [Run(*case, policy, seed) for case, policy, seed in product(cases, POLICIES, range(first, last + 1))]
     with ProcessPoolExecutor(WORKERS) as workers:
-        found = dict(zip(runs, workers.map(measure, runs), strict=True))
-    for line in table(found):
+        measured = dict(zip(runs, workers.map(measure, runs), strict=True))
+    for line in table(measured):
         sys.stdout.write(f'{line}\n')
     return 0
 
 
 def table(found: dict[Run, Figures]) -> Iterator[str]:
-    """Yield the rows, and what no run may show."""
+    """Yield the rows, then the number of duplicated and cut-off answers, which must be 0."""
     yield HEAD
     yield '|---|---|---|---|---|---|---|---|'
     for name in dict.fromkeys(run[:3] for run in found):
--- a/benchmarks/rest_ways.py
+++ b/benchmarks/rest_ways.py
@@ -1,4 +1,4 @@
-"""Whether the other instances should heed the rest that a runner asks one of them for, on the same seeds.
+"""Comparison of rules for a back-off that a runner asked of another instance, on the same seeds.
 
 Run: python -m benchmarks.rest_ways [SEEDS]
 """
@@ -47,7 +47,7 @@
 
 
 class Outcome(NamedTuple):
-    """What one play showed."""
+    """Share of answers on time, number of failed requests, and number of rejections by the runner."""
 
     on_time: float
     lost: int
@@ -55,11 +55,11 @@
 
 
 def _heed_not(words: RunnerWords, start: Start, for_s: float, source: str) -> None:
-    """Heed nothing that another instance was asked for."""
+    """Ignore a back-off that a runner asked of another instance."""
 
 
 def _rest_too(words: RunnerWords, start: Start, for_s: float, source: str) -> None:
-    """Take it as if it had been asked of this instance."""
+    """Back off as if the runner had asked this instance."""
     on_rest = words.on_rest
     words.on_rest = None
     words.take(Rests(for_s), start, 0)
@@ -76,7 +76,7 @@
 
 
 async def play(seed: int, fronts: int, of_one: bool) -> Outcome:
-    """Have one of four engines turn requests away, all or those ``of_one`` instance."""
+    """Have one of four engines reject the requests of all instances, or only those of the first one."""
     runners = engines(0, 4)
     load = Load(partial(asked_prompt, '/verdict/a'), RATE, LENGTH_S)
     seen: list[Seen] = []
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Play all ways and print a table."""
+    """Run all rules in all deployments and print a table."""
     last_seed = int(sys.argv[1]) if len(sys.argv) > 1 else LAST_SEED
     seeds = range(1, last_seed + 1)
     for fronts, of_one in DEPLOYMENTS:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Cost against size, for docs/CAPACITY.md: ``make slopes``."""
+"""Cost by size, for docs/CAPACITY.md. Run: ``make slopes``."""
 
 from __future__ import annotations
 
@@ -59,35 +59,35 @@
 
 
 def main() -> int:
-    """Measure all slopes and print them."""
+    """Print all fitted lines."""
     for line in slopes():
         sys.stdout.write(f'{line}\n')
     return 0
 
 
 def slopes() -> Iterator[Line]:
-    """Yield each measured line."""
+    """Measure each cost at its sizes and yield the fitted lines."""
     for name, unit, sizes, measure in MEASURES:
         yield fit_line(name, unit, sizes, measure)
 
 
 class InstantLink:
-    """An agent that answers at once, so that only the entry's cost shows."""
+    """A link whose agent answers at once, so that only the cost of the instance is measured."""
 
     generation = 0
 
     def __init__(self, name: str) -> None:
-        """Answer as the runner ``name``."""
+        """Answer with the load report of the runner ``name``."""
         self._report = report(name)
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Answer without a network."""
+        """Return the load report, without a network."""
         await trio.lowlevel.checkpoint()
         return self._report
 
 
 def report(name: str) -> LoadReport:
-    """Return a typical report."""
+    """Return a typical load report."""
     load = NO_LOAD._replace(role='mixed', waiting_tokens=8000, prefill_rate=4600, token_s=0.05, running=12, slots=32)
     return LoadReport(name, f'{name}-0123456789ab', ready=True, leaving=False, folded=-1, offered=Offered(), load=load)
 
@@ -116,16 +116,16 @@
 
 
 def entry_processor_us(runners: int) -> float:
-    """Processor time a second of an entry that knows so many runners.
+    """Return the CPU microseconds per second of an instance that knows ``runners`` runners.
 
-    Without the network; the budget of beats keeps their number constant.
+    The network is left out. The heartbeat budget keeps the number of heartbeats constant.
     """
     idle_s = processor_s(partial(_virtual, _beat_for, runners, 0))
     return (processor_s(partial(_virtual, _beat_for, runners, VIRTUAL_S)) - idle_s) / VIRTUAL_S * MICRO
 
 
 def entry_memory_kb(runners: int) -> float:
-    """Memory of the fold and the views of so many runners."""
+    """Return the peak memory, in kB, of the state and the views of ``runners`` runners."""
     tracemalloc.start()
     _virtual(_beat_for, runners, 1)
     peak = tracemalloc.get_traced_memory()[1]
@@ -134,7 +134,7 @@
 
 
 def choose_us(candidates: int) -> float:
-    """Processor time of one routing choice."""
+    """Return the CPU microseconds of one routing choice."""
     load = report('r').load
     found = [Candidate(f'r{number}', same_zone=True, load=load) for number in range(candidates)]
     need = Need(8000, 40, 20, urgent=True)
@@ -144,9 +144,9 @@
 
 
 def agent_processor_us(entries: int) -> float:
-    """Processor time a second of an agent that so many entries beat with."""
+    """Return the CPU microseconds per second of an agent with heartbeats from that many instances."""
 
-    async def hear() -> None:
+    async def receive() -> None:
         table = OfferedTable()
         for second in range(10):
             for entry in range(entries):
@@ -154,11 +154,11 @@
                 table.total()
             await trio.sleep(1)
 
-    return processor_s(partial(_virtual, hear)) / 10 * MICRO
+    return processor_s(partial(_virtual, receive)) / 10 * MICRO
 
 
 def fold_us(runners: int) -> float:
-    """Processor time of folding one renewal."""
+    """Return the CPU microseconds of folding one lease renewal."""
     state = fold_of(runners)
     fence = state.leases['verdict-llm'].fence
     payloads = [encode('leader', 10_000 + number, RenewLease('verdict-llm', fence)) for number in range(RECORDS)]
@@ -172,7 +172,7 @@
 
 
 def snapshot_bytes(runners: int) -> float:
-    """Size of a snapshot."""
+    """Return the size of a snapshot, in bytes."""
     return len(encode_snapshot(Snapshot(1, fold_of(runners))))
 
 
@@ -192,7 +192,7 @@
 
 
 def key_memory_kb(keys: int) -> float:
-    """Memory of a shard's fold with so many keys."""
+    """Return the memory, in kB, of a shard's folded claims of ``keys`` keys."""
     batches = _key_batches(keys)
     tracemalloc.start()
     fold = _fold_keys(batches)
@@ -202,7 +202,7 @@
 
 
 def key_fold_us(keys: int) -> float:
-    """Processor time of folding a shard's whole stream, ten keys a batch."""
+    """Return the CPU microseconds of folding a shard's whole stream of ``keys`` keys, ten per batch."""
     return processor_s(partial(_fold_keys, _key_batches(keys))) * MICRO
 
 
@@ -221,18 +221,18 @@
 
 
 def grpc_beat_us(beats: int) -> float:
-    """Processor time of so many beats over loopback, both ends together."""
+    """Return the CPU microseconds of that many heartbeats over loopback, client and server together."""
     return processor_s(partial(trio.run, _beat_over_grpc, beats)) * MICRO
 
 
 def beat_bytes(_size: int) -> float:
-    """Encoded size of a beat and its reply, without HTTP/2 around them."""
+    """Return the encoded size, in bytes, of a heartbeat and its reply, without HTTP/2 framing."""
     req = BeatRequest('entry-1-0123456789ab', 100_000, Offered())
     return len(msgspec.msgpack.encode(req)) + len(msgspec.msgpack.encode(report('verdict-1')))
 
 
 def publish_us(runners: int) -> float:
-    """Processor time of folding one new configuration."""
+    """Return the CPU microseconds of folding one new configuration."""
     fold = FoldBuilder()
     fold.add(publish(0, size=runners))
     payload = encode('operator', 1, publish(1, size=runners))
@@ -240,23 +240,23 @@
 
 
 def publish_bytes(runners: int) -> float:
-    """Size of a record with a new configuration."""
+    """Return the size, in bytes, of a record with a new configuration."""
     return len(encode('operator', 1, publish(1, size=runners)))
 
 
 async def _in_force_everywhere(followers: int) -> float:
     log = MemoryLog()
-    all_of_them = [Follower(log, 'boat-bazaar', f'process-{number}', Random(number)) for number in range(followers)]
+    members = [Follower(log, 'boat-bazaar', f'process-{number}', Random(number)) for number in range(followers)]
     async with trio.open_nursery() as nursery:
-        for follower in all_of_them:
+        for follower in members:
             nursery.start_soon(follower.follow)
         await trio.sleep(10)
-        # A record just before: all have read it and now gather for a second.
-        await all_of_them[1].submit(ClaimLease('system/snapshots', 'process-1', -1))
+        # The followers have just read a record, so each waits a second to gather more.
+        await members[1].submit(ClaimLease('system/snapshots', 'process-1', -1))
         await trio.sleep(0.1)
-        await all_of_them[0].submit(publish(0))
+        await members[0].submit(publish(0))
         published = trio.current_time()
-        while any(not waiting.state.version for waiting in all_of_them):
+        while any(not member.state.version for member in members):
             await trio.sleep(0.01)
         took_s = trio.current_time() - published
         nursery.cancel_scope.cancel()
@@ -264,7 +264,7 @@
 
 
 def in_force_s(followers: int) -> float:
-    """Virtual seconds from a publication until the last follower folded it."""
+    """Return the virtual seconds from a publication until the last follower has folded it."""
     took_s: float = trio.run(_in_force_everywhere, followers, clock=MockClock(autojump_threshold=0))
     return took_s
 
@@ -280,7 +280,7 @@
 
 
 def http_read_us(reads: int) -> float:
-    """Processor time of so many reads of the log, both ends together."""
+    """Return the CPU microseconds of ``reads`` reads of the log over HTTP, client and server together."""
     return processor_s(partial(trio.run, _read_over_http, reads)) * MICRO
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of configurations and folded states for tests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def configuration(size: int = 2, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with one fleet of engines."""
+    """Return a configuration with one fleet of ``size`` engines and three presets."""
     names = [f'verdict-{number}' for number in range(1, size + 1)]
     fleet = {'kind': 'engine', 'models': ['verdict'], 'floors': {}, 'roles': {}, 'engine': engine()}
     base = {
@@ -45,7 +45,7 @@
 
 
 def engine() -> dict[str, Any]:
-    """Return the figures of the stand-in engine."""
+    """Return the performance figures of the stand-in engine."""
     return {
         'base_step_s': 0.025,
         'prefill_token_s': 0.000167,
@@ -72,25 +72,25 @@
 
 
 def publish(based_on: int, operator: str = 'asha', **changes: Any) -> Publish:
-    """Return a change to a good configuration."""
+    """Return a record that publishes a valid configuration based on the version ``based_on``."""
     return Publish(based_on, operator, msgspec.Raw(msgspec.json.encode(configuration(**changes))))
 
 
 class FoldBuilder:
-    """Folds bodies one after another, each from the writer that is named."""
+    """Folds records one after another into a state, numbering them per writer."""
 
     def __init__(self) -> None:
-        """Start with an empty log."""
+        """Start with the state of an empty log."""
         self.state = State.empty()
         self._serials: dict[str, int] = {}
 
     def add(self, body: Body, writer: str = 'w') -> Step:
-        """Append ``body`` as a new record of ``writer``."""
+        """Fold ``body`` as the next record of ``writer``."""
         self._serials[writer] = self._serials.get(writer, 0) + 1
         return self.add_payload(encode(writer, self._serials[writer], body))
 
     def add_payload(self, payload: bytes) -> Step:
-        """Append bytes as they are."""
+        """Fold an encoded record without changing it."""
         step = apply(self.state, self.state.offset + 1, payload)
         self.state = step.state
         return step
--- a/tests/fuzz/__main__.py
+++ b/tests/fuzz/__main__.py
@@ -1,4 +1,4 @@
-"""Long runs: ``make fuzz EXAMPLES=2000 SEED=7``."""
+"""Command line for long fuzzing runs: ``make fuzz EXAMPLES=2000 SEED=7``."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class Counted(Machine):
-    """The machine, which counts the steps that it ran."""
+    """A state machine that counts its programs and steps."""
 
     counts: Counter[str] = Counter()
     programs = 0
 
     def teardown(self) -> None:
-        """Run the program and count it."""
+        """Run the program, then count it and its steps."""
         super().teardown()
         Counted.programs += 1
         Counted.counts.update(name for name, _ in self.program)
 
 
 def main(examples: int, number: int) -> int:
-    """Run and print what was run; an error shows a broken promise."""
+    """Fuzz with a seed and print the counts of steps; a violated guarantee raises an error."""
     chosen = settings(
         max_examples=examples,
         stateful_step_count=STEPS,
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -1,4 +1,4 @@
-"""The rule machine: it writes a program, then runs it in virtual time."""
+"""Hypothesis state machine that collects a program of steps and runs it in virtual time."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def run_program(program: tuple[tuple[str, int], ...], seed: int) -> list[str]:
-    """Run a program and return what it broke."""
+    """Run a program and return the violated guarantees, one line each."""
     return run_virtual(_run, program, seed, seed=seed)
 
 
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""What must hold, by what callers, upstreams and operators can see."""
+"""Checks of the guarantees, from what callers, engines and operators can observe."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def broken_promises(world: World) -> list[str]:
-    """Return a line for each promise that was broken."""
+    """Return a line for each violated guarantee."""
     return [*_answers(world), *_runs(world), *_engines(world), *_configuration(world)]
 
 
@@ -43,8 +43,8 @@
         outcomes[seed].add(sent.seen.outcome.tag if sent.seen else 'waits')
         if runs[seed] > 1 and not sent.req.repeatable:
             yield f'at most once: it ran {runs[seed]} times'
-    lied = [seed for seed, tags in outcomes.items() if tags == {NotRun.tag} and runs[seed]]
-    yield from ('not run is true: it ran' for _ in lied)
+    misreported = [seed for seed, tags in outcomes.items() if tags == {NotRun.tag} and runs[seed]]
+    yield from ('not run is true: it ran' for _ in misreported)
 
 
 def _engines(world: World) -> Iterator[str]:
--- a/tests/fuzz/test_fuzz.py
+++ b/tests/fuzz/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing within CI's budget, and the broken twins that it must catch."""
+"""Fuzzing within the budget of CI, and faulty variants that the checks must detect."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class FuzzTest(TestCase):
-    """All promises, under faults alone and in pairs."""
+    """All guarantees hold under single faults and pairs of faults."""
 
     def test_promises_under_faults(self) -> None:
         run_state_machine_as_test(Machine, settings=QUIET)
 
 
 class TwinTest(TestCase):
-    """Each safeguard switched off: the oracle must see what it was for."""
+    """With one safeguard disabled, the checks must report the violated guarantee."""
 
     def test_twin_resume_starts_anew(self) -> None:
-        # The agent dies in mid-answer and its successor takes the resumed
-        # attempt for a new one: a request that may run once runs twice.
+        # Failure: the agent is killed during an answer and its successor starts the
+        # resumed attempt anew, so a request that may run only once runs twice.
         def refusal(agent: Agent, req: RunRequest) -> None:
             """Refuse nothing."""
 
@@ -46,7 +46,7 @@
         self.assertIn('at most once: it ran 2 times', broken)
 
     def test_twin_other_incarnation_denies(self) -> None:
-        # The successor says that an attempt of its predecessor never ran.
+        # Failure: a restarted agent reports an attempt of its predecessor as not started.
         def refusal(agent: Agent, req: RunRequest) -> tuple[End, str] | None:
             return None if req.incarnation == agent.incarnation else (End.not_started, 'denied')
 
@@ -55,8 +55,8 @@
         self.assertTrue(broken)
 
     def test_twin_chunks_without_numbers(self) -> None:
-        # Chunks are handed on as they come: after a resume the caller reads
-        # some of them twice.
+        # Failure: chunks are passed on without checking their numbers, so the caller
+        # gets some of them twice after a resume.
         def push(assembler: Assembler, number: int, payload: bytes) -> list[bytes]:
             assembler.released += 1
             return [payload]
@@ -68,16 +68,16 @@
         self.assertIn('whole answer: a caller got something else', broken)
 
     def test_twin_keys_forgotten(self) -> None:
-        # Keys live for a second only: the same key, sent again, runs again.
+        # Failure: idempotency keys expire after a second, so a repeated key runs again.
         program = (('send_key', 0), ('wait', 4), ('send_key', 0), ('wait', 4))
         with mock.patch('sesamepoint_core.keys.fold.KEY_LIFE_S', 1):
             broken = run_program(program, 1)
         self.assertIn('at most once: it ran 2 times', broken)
 
     def test_twin_change_without_drain(self) -> None:
-        # The order goes to the engine while answers run there.
+        # Failure: the engine is ordered to change its role while it generates answers.
         async def drained(agent: Agent) -> None:
-            """Wait for nothing."""
+            """Return without waiting for running answers."""
 
         with mock.patch.object(Agent, 'drained', drained):
             broken = run_program((('send', 4), ('send', 4), ('send', 4), ('order', 0), ('order', 1), ('order', 2)), 1)
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -1,4 +1,4 @@
-"""The world that a fuzzed program acts on, and the steps it is made of."""
+"""The deployment that a fuzzed program runs on, and the steps of such programs."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 
 
 class Step(Protocol):
-    """One kind of step; its number says on what, and how much."""
+    """A kind of step; its number selects the target and the extent."""
 
     async def __call__(self, world: World, number: int) -> None:
         """Take the step."""
 
 
 class Sent(NamedTuple):
-    """A request and what its caller saw; None while it waits."""
+    """A request and its answer, which is None while the caller waits."""
 
     req: CallerRequest
     seen: Seen | None
 
 
 class World:
-    """A bed, its callers, and what operators were told."""
+    """A simulated deployment, the requests sent to it, and the accepted configuration versions."""
 
     def __init__(self, bed: Bed, nursery: trio.Nursery) -> None:
-        """Start with nothing sent."""
+        """Start without requests and changes."""
         self.bed = bed
         self.nursery = nursery
         self.sent: list[Sent] = []
@@ -57,7 +57,7 @@
         self.nursery.start_soon(self._send, number, req, entry)
 
     async def operate(self, act: Callable[[Follower], Awaitable[None]], wait_s: float) -> None:
-        """Let an operator act, for as long as one has patience."""
+        """Run an operator's action, and cancel it after ``wait_s`` seconds."""
         with trio.move_on_after(wait_s):
             async with self.bed.operator() as operator:
                 await act(operator)
@@ -72,7 +72,7 @@
 
 @STEPS.register('send')
 async def send(world: World, number: int) -> None:
-    """Send a request that may run once, or more often if the number is odd."""
+    """Send a request, which may run more than once only if the number is odd."""
     await trio.lowlevel.checkpoint()
     req = request(body=body(1000 + len(world.sent)), output_tokens=20 + 40 * (number % 5), repeatable=bool(number % 2))
     world.send(req._replace(streamed=number % 3 == 0), _entry(world, number))
@@ -80,7 +80,7 @@
 
 @STEPS.register('send_key')
 async def send_key(world: World, number: int) -> None:
-    """Send one of a few keys, perhaps again."""
+    """Send a request with one of three idempotency keys, which may have been sent before."""
     await trio.lowlevel.checkpoint()
     key = number % 3
     world.send(request(body=body(key), key=f'key-{key}', repeatable=False), _entry(world, number // 3))
@@ -88,13 +88,13 @@
 
 @STEPS.register('wait')
 async def wait(world: World, number: int) -> None:
-    """Let time pass, from half a second to eight."""
+    """Let 0.5 s to 8 s pass."""
     await trio.sleep(0.5 * 2 ** (number % 5))
 
 
 @STEPS.register('kill_agent')
 async def kill_agent(world: World, number: int) -> None:
-    """Kill an agent; its successor starts at once."""
+    """Kill an agent and start its successor immediately."""
     await trio.lowlevel.checkpoint()
     name = _runner(number)
     world.bed.agents[name].scope.cancel()
@@ -103,7 +103,7 @@
 
 @STEPS.register('pause_agent')
 async def pause_agent(world: World, number: int) -> None:
-    """Pause an agent, or wake it up."""
+    """Pause an agent, or resume it if it is paused."""
     await trio.lowlevel.checkpoint()
     gate = world.bed.agents[_runner(number)].gate
     if gate.paused:
@@ -114,7 +114,7 @@
 
 @STEPS.register('stop_agent')
 async def stop_agent(world: World, number: int) -> None:
-    """Stop an agent gracefully and start another when it is done."""
+    """Stop an agent gracefully and start its successor afterwards."""
     started = world.bed.agents[_runner(number)]
     with trio.move_on_after(ORDER_WAIT_S):
         await started.stop()
@@ -123,7 +123,7 @@
 
 @STEPS.register('mute')
 async def mute(world: World, number: int) -> None:
-    """Let the network lose track of all open connections to a runner."""
+    """Make all open connections to a runner go silent; new ones work."""
     await trio.lowlevel.checkpoint()
     for (_, name), wire in world.bed.wires.items():
         if name == _runner(number):
@@ -132,7 +132,7 @@
 
 @STEPS.register('cut')
 async def cut(world: World, number: int) -> None:
-    """Cut an entry off from a runner, or join them again."""
+    """Cut an instance off from a runner, or reconnect them."""
     await trio.lowlevel.checkpoint()
     wire = world.bed.wires.get((_entry(world, number // SIZE), _runner(number)))
     if wire is not None:
@@ -141,71 +141,71 @@
 
 @STEPS.register('log_away')
 async def log_away(world: World, number: int) -> None:
-    """Take the log away, or bring it back."""
+    """Make the log unavailable, or available again."""
     await trio.lowlevel.checkpoint()
     world.bed.log.faults.away = not world.bed.log.faults.away
 
 
 @STEPS.register('lose_reply')
 async def lose_reply(world: World, number: int) -> None:
-    """Lose the replies of the next appends, which take effect."""
+    """Lose the replies to the next one or two appends, which still take effect."""
     await trio.lowlevel.checkpoint()
     world.bed.log.faults.lose_replies = 1 + number % 2
 
 
 @STEPS.register('publish')
 async def publish_step(world: World, number: int) -> None:
-    """Publish a configuration in which one runner may be drained."""
+    """Publish a configuration that drains at most one runner."""
     drained = {f'verdict-{index + 1}': runner(index, draining=index == number % 5) for index in range(SIZE)}
 
-    async def act(operator: Follower) -> None:
-        verdict = await operator.submit(publish(operator.state.version, runners=drained))
-        if isinstance(verdict, Accepted):
-            world.accepted.append(verdict.version)
+    async def submit_change(operator: Follower) -> None:
+        outcome = await operator.submit(publish(operator.state.version, runners=drained))
+        if isinstance(outcome, Accepted):
+            world.accepted.append(outcome.version)
 
-    await world.operate(act, OPERATOR_WAIT_S)
+    await world.operate(submit_change, OPERATOR_WAIT_S)
 
 
 @STEPS.register('preset')
 async def preset_step(world: World, number: int) -> None:
-    """Switch the preset."""
+    """Switch to one of the three presets."""
 
-    async def act(operator: Follower) -> None:
+    async def submit_change(operator: Follower) -> None:
         name = ('ordinary', 'peak', 'maintenance')[number % 3]
-        verdict = await operator.submit(SwitchPreset(operator.state.version, 'fuzz', name))
-        if isinstance(verdict, Accepted):
-            world.accepted.append(verdict.version)
+        outcome = await operator.submit(SwitchPreset(operator.state.version, 'fuzz', name))
+        if isinstance(outcome, Accepted):
+            world.accepted.append(outcome.version)
 
-    await world.operate(act, OPERATOR_WAIT_S)
+    await world.operate(submit_change, OPERATOR_WAIT_S)
 
 
 @STEPS.register('order')
 async def order_step(world: World, number: int) -> None:
-    """Take the fleet's lease, as a new leader does, and order a role."""
+    """Claim the lease of the fleet, as a new leader does, and order a role."""
 
-    async def act(operator: Follower) -> None:
+    async def submit_change(operator: Follower) -> None:
         await operator.read_to_end()
         state = operator.state
         lease = state.leases.get(FLEET)
         claim = ClaimLease(FLEET, operator.writer, lease.renewed if lease else -1)
-        verdict = await operator.submit(claim)
+        outcome = await operator.submit(claim)
         role = ROLES[number // SIZE % len(ROLES)]
-        order = Order(FLEET, _runner(number), role, verdict.offset, state.version, 'fuzz')
+        order = Order(FLEET, _runner(number), role, outcome.offset, state.version, 'fuzz')
         await operator.submit(order)
 
-    await world.operate(act, OPERATOR_WAIT_S)
+    await world.operate(submit_change, OPERATOR_WAIT_S)
 
 
 @STEPS.register('crash_engine')
 async def crash_engine(world: World, number: int) -> None:
-    """Crash an engine; a change under way stays half done."""
+    """Crash an engine; a role change in progress stays incomplete."""
     await trio.lowlevel.checkpoint()
     world.bed.engines[_runner(number)].crash()
 
 
 @STEPS.register('leave')
 async def leave(world: World, number: int) -> None:
-    """List a runner as leaving, or take it back."""
+    """List a runner as draining, or as available again."""
     await trio.lowlevel.checkpoint()
     address = world.bed.configuration['runners'][_runner(number)]['agent']
     world.bed.instances.put(address, leaving=bool(number // SIZE % 2))
@@ -221,7 +221,7 @@
 
 
 async def heal(world: World) -> None:
-    """Take all faults away and let everything settle."""
+    """Remove all faults and wait until the deployment has settled."""
     world.bed.log.faults.away = False
     world.bed.log.faults.lose_replies = 0
     for wire in world.bed.wires.values():
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""A plugin of nose2 that passes over the tests that KNOWN-RED.txt lists, and only those, when they fail."""
+"""A nose2 plugin that treats failures of the tests listed in KNOWN-RED.txt as expected."""
 
 from __future__ import annotations
 
@@ -8,34 +8,41 @@
 from nose2.events import Plugin
 
 LIST = Path(__file__).parent.parent / 'KNOWN-RED.txt'
-# More is no list of exceptions any more.
+# A longer list would no longer be a list of exceptions.
 MOST = 3
 
 
 def listed() -> tuple[str, ...]:
-    """Return the ids of the tests that are known to fail: the first word of each line."""
+    """Return the ids of the tests that are known to fail, the first word of each line of the file."""
     lines = LIST.read_text(encoding='utf-8').splitlines()
     return tuple(line.split()[0].rstrip(':') for line in lines if line.strip())
 
 
 class KnownRed(Plugin):  # type: ignore[misc]
-    """Turns the failure of a listed test into an expected one."""
+    """Marks failures of listed tests as expected; all other failures count."""
 
     configSection = 'known-red'  # noqa: WPS115
     alwaysOn = True  # noqa: WPS115
 
     def __init__(self) -> None:
-        """Read the list."""
+        """Read the list.
+
+        Raises
+        ------
+        ValueError
+            If the list is longer than allowed.
+
+        """
         self._listed = listed()
         if len(self._listed) > MOST:
             raise ValueError(f'KNOWN-RED.txt lists {len(self._listed)} tests; at most {MOST} may land')
 
     def registerInSubprocess(self, event: Any) -> None:  # noqa: N802
-        """Be there in the processes that run tests side by side."""
+        """Register the plugin in the worker processes that run tests in parallel."""
         event.pluginClasses.append(self.__class__)
 
     def setTestOutcome(self, event: Any) -> None:  # noqa: N802
-        """Expect the failure of a listed test."""
+        """Mark the failure of a listed test as expected."""
         if event.outcome == 'failed' and event.test.id() in self._listed:
             event.expected = True
 
--- a/tests/runtime/test_attempt.py
+++ b/tests/runtime/test_attempt.py
@@ -1,4 +1,4 @@
-"""Requests under failure: whole answers, once, to their own callers."""
+"""Tests of single requests under failure: whole answers, run at most once, to the right callers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AttemptTest(TestCase):
-    """One request at a time, with one fault."""
+    """One request and one fault per test."""
 
     @virtual
     async def test_serve_without_fault(self) -> None:
@@ -34,9 +34,9 @@
 
     @virtual
     async def test_serve_silent_connection(self) -> None:
-        # The caller gets its whole answer, a little late. In mid-answer the
-        # network loses track of the connection; a new one works. The entry
-        # resumes the same attempt, so the engine must have run it once.
+        # The connection goes silent during an answer, and new ones work. The
+        # instance must resume the same attempt: the caller gets the whole answer,
+        # a little late, and the engine runs the request once.
         async with Bed.open(configuration()) as bed:
             await settle()
             req = request(body=body(1), output_tokens=400, streamed=True, repeatable=False)
@@ -51,8 +51,9 @@
 
     @virtual
     async def test_serve_agent_killed_repeatable(self) -> None:
-        # The agent dies in mid-answer. Nothing went out yet, and the request
-        # may run twice: it runs again elsewhere and the caller sees one answer.
+        # The agent is killed during an answer. Nothing was sent to the caller yet
+        # and the request may run twice, so it runs on another runner and the
+        # caller gets one answer.
         async with Bed.open(configuration()) as bed:
             await settle()
             req = request(body=body(1), output_tokens=400)
@@ -62,8 +63,9 @@
 
     @virtual
     async def test_serve_agent_killed_not_repeatable(self) -> None:
-        # The same, for a paid verdict. Nobody can tell whether it ran, so it
-        # must not run again, and the caller must not be told "not run".
+        # The agent is killed during an answer to a request that must not run
+        # twice. Whether it ran is unknown, so it must not run again, and the
+        # answer must not be "not run".
         async with Bed.open(configuration()) as bed:
             await settle()
             seen = await self._killed_in_mid_answer(bed, request(body=body(1), output_tokens=400, repeatable=False))
@@ -72,9 +74,9 @@
 
     @virtual
     async def test_serve_agent_restarted(self) -> None:
-        # The agent dies and its successor is up before the entry resumes.
-        # The successor never saw the attempt, yet its predecessor ran it:
-        # "never arrived" would be a lie and a second run.
+        # The agent is killed and its successor is up before the instance resumes.
+        # The successor does not know the attempt, but its predecessor ran it.
+        # The answer "never arrived" would be false and cause a second run.
         async with Bed.open(configuration()) as bed:
             await settle()
             req = request(body=body(1), output_tokens=400, repeatable=False)
@@ -88,9 +90,9 @@
 
     @virtual
     async def test_serve_agent_killed_and_no_other(self) -> None:
-        # The only agent dies in mid-answer. The request may run again, but
-        # there is nowhere to run it. It did run, so "not run" would be a
-        # lie, though the second look for a runner found none and ran nothing.
+        # The only agent is killed during an answer. The request may run again, but
+        # there is no other runner. The second attempt found none and ran nothing,
+        # but the first one ran, so the answer "not run" would be false.
         async with Bed.open(configuration(size=1)) as bed:
             await settle()
             seen = await self._killed_in_mid_answer(bed, request(body=body(1), output_tokens=400))
@@ -99,9 +101,9 @@
 
     @virtual
     async def test_serve_first_message_lost(self) -> None:
-        # The connection is dead before the request is sent over it. The new
-        # connection asks the agent, who proves that it never arrived; so it
-        # is tried elsewhere, though it may run only once.
+        # The connection is dead before the request is sent over it. Over a new
+        # connection the agent proves that the request never arrived, so it is
+        # sent to another runner although it may run only once.
         async with Bed.open(configuration()) as bed:
             await settle()
             for wire in bed.wires.values():
@@ -113,8 +115,8 @@
 
     @virtual
     async def test_serve_all_cut(self) -> None:
-        # No agent can be reached at all. The caller is told at once that the
-        # request did not run, and when to come back.
+        # No agent can be reached. The caller immediately gets "not run" and the
+        # time after which to retry.
         async with Bed.open(configuration()) as bed:
             await settle()
             for wire in bed.wires.values():
@@ -127,8 +129,8 @@
 
     @virtual
     async def test_serve_deadline_passes(self) -> None:
-        # The engine slows down tenfold after the request was let in. At the
-        # deadline the caller gets its final answer and the engine stops.
+        # The engine slows down tenfold, so the answer misses its deadline. The
+        # caller gets its final answer at the deadline, and the run is cancelled.
         async with Bed.open(configuration(size=1)) as bed:
             await settle()
             bed.engines['verdict-1'].slowdown = 10
@@ -140,9 +142,9 @@
 
     @virtual
     async def test_serve_beside_unreadable_answer(self) -> None:
-        # The engine's answer to one request cannot be read, which nobody
-        # expected. It must end that attempt only: the answer that runs
-        # beside it belongs to another caller, who sees nothing of it.
+        # Reading the engine's answer to one request raises an unexpected error. It
+        # must end that attempt only; the concurrent answer to another caller
+        # must arrive whole.
         async with Bed.open(configuration(size=1)) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
@@ -153,14 +155,14 @@
                 with mock.patch.object(MemoryEngine, 'start', side_effect=ValueError('not a chunk')):
                     calls.send(request(body=body(2), repeatable=False))
                     await trio.sleep(1)
-            seen = {req.job.body: found for req, found in calls.seen}
+            seen = {req.job.body: record for req, record in calls.seen}
             self.assertIsInstance(seen[body(2)].outcome, Unknown)
             self.assertEqual(seen[body(1)].text, expected_text(good))
 
     @virtual
     async def test_serve_caller_gone(self) -> None:
-        # The caller hangs up. What nobody waits for must not take the
-        # engine's time from others.
+        # The caller disconnects. Its run must be cancelled, or it would take
+        # engine time from other requests.
         async with Bed.open(configuration(size=1)) as bed:
             await settle()
             with trio.move_on_after(1):
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -1,4 +1,4 @@
-"""Agreement under failure: configuration, leases, orders."""
+"""Tests of configuration, leases, orders and planned stops under failure."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def give_order(follower: Follower, name: str, role: str) -> None:
-    """Take the fleet's lease as an operator's stand-in and order a role."""
+    """Claim the lease of the fleet in place of its leader and order a role."""
     await follower.read_to_end()
     lease = follower.state.leases[FLEET]
     claim = await follower.submit(ClaimLease(FLEET, follower.writer, lease.renewed))
@@ -35,13 +35,12 @@
 
 
 class OrderTest(TestCase):
-    """Role changes and what they must not do."""
+    """Role changes of engines, which must not drop answers or lose orders."""
 
     @virtual
     async def test_order_during_answers(self) -> None:
-        # A role change is ordered while the engine is in mid-answer. The
-        # engine drops all it runs when it changes, so the agent must let it
-        # finish first: the caller gets its whole answer.
+        # A role change is ordered during an answer. The engine drops all its runs
+        # when it changes, so the agent must first let them finish.
         async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             async with trio.open_nursery() as nursery:
@@ -57,9 +56,9 @@
 
     @virtual
     async def test_order_half_switched(self) -> None:
-        # The engine crashes in the middle of its change and comes back with
-        # neither role. The agent finds out by asking, keeps it out of
-        # service, and has the standing order carried out again.
+        # The engine crashes during a role change and comes back with neither role.
+        # The agent must detect that by querying it, keep it out of service, and
+        # carry out the order again.
         async with Bed.open(configuration(size=2)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             await give_order(operator, 'verdict-1', 'prefill')
@@ -73,8 +72,8 @@
 
     @virtual
     async def test_order_agent_killed_in_change(self) -> None:
-        # The agent dies between its order and the engine's change. Its
-        # successor asks the engine what it really is and leaves it alone.
+        # The agent is killed between ordering the role and the engine's change. Its
+        # successor must query the engine's role and not order it again.
         async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             await give_order(operator, 'verdict-1', 'prefill')
@@ -88,9 +87,9 @@
 
     @virtual
     async def test_order_with_runs_of_killed_agent(self) -> None:
-        # An agent is killed in mid-answer and the engine runs on. Its
-        # successor, which knows nothing of the run, gets an order. What the
-        # engine runs must end first: it may be a booking that takes effect.
+        # An agent is killed during an answer and the engine goes on. Its successor,
+        # which does not know of the run, gets an order. It must wait until the
+        # run ends, since the run may have side effects, such as a booking.
         async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             async with trio.open_nursery() as nursery:
@@ -107,24 +106,24 @@
 
     @virtual
     async def test_order_of_woken_leader(self) -> None:
-        # The leader is paused, another process takes the lease and orders.
-        # The first wakes up still believing, and appends. Its order is void:
-        # the engine only ever sees the other's.
+        # The leader is paused while another process takes its lease and gives an
+        # order. Resumed, it still takes itself for the leader and appends an
+        # order, which must be void: the engine gets only the other one.
         async with Bed.open(configuration(size=1)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             deposed = operator.state.leases[FLEET]
             await give_order(operator, 'verdict-1', 'prefill')
             version = operator.state.version
-            verdict = await operator.submit(Order(FLEET, 'verdict-1', 'decode', deposed.fence, version, 'late'))
-            assert isinstance(verdict, Rejected)
+            outcome = await operator.submit(Order(FLEET, 'verdict-1', 'decode', deposed.fence, version, 'late'))
+            assert isinstance(outcome, Rejected)
             await settle(LEASE_S)
             self.assertEqual([role for role, _ in bed.engines['verdict-1'].orders], ['prefill'])
 
     @virtual
     async def test_order_paused_agent_replaced(self) -> None:
-        # An agent stops between reading the log and ordering its engine,
-        # which ignores fencing numbers. A successor claims the slot. Woken
-        # up, the old one sees that it lost the slot and takes no more work.
+        # An agent is paused between reading the log and ordering its engine, which
+        # ignores fencing numbers. A successor claims the slot. Resumed, the old
+        # agent must notice that it lost the slot and accept no more work.
         lax = {'verdict-1': runner(0, checks_fencing=False)}
         async with Bed.open(configuration(runners=lax)) as bed, bed.operator() as operator:
             await settle(LEASE_S)
@@ -141,12 +140,12 @@
 
 
 class ConfigurationTest(TestCase):
-    """Configuration everywhere, for good."""
+    """Publications reach every process and are never lost."""
 
     @virtual
     async def test_drain_by_configuration(self) -> None:
-        # A runner is drained by publishing. What it runs is finished, and
-        # a few seconds later no new work goes there.
+        # A published configuration drains a runner. Its running answers must finish,
+        # and a second later no new work may go there.
         async with Bed.open(configuration()) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
@@ -165,8 +164,8 @@
 
     @virtual
     async def test_publish_reaches_process_cut_off_from_log(self) -> None:
-        # One entry cannot reach the log. It hears of the new version from
-        # the agents, on the signs of life that it asks for anyway.
+        # One instance cannot reach the log. It must get the new version from the
+        # agents, whose heartbeats it requests anyway.
         async with Bed.open(configuration()) as bed:
             await settle()
             bed.entries['entry-2'].gate.cut_from_log = True
@@ -179,25 +178,25 @@
 
     @virtual
     async def test_publish_reply_lost(self) -> None:
-        # The operator's append takes effect and its reply is lost. The tool
-        # reads back, and the change counts once.
+        # The operator's append takes effect but its reply is lost. The operator's
+        # client must find the record by reading the log, so that it counts once.
         async with Bed.open(configuration()) as bed, bed.operator() as operator:
             bed.log.faults.lose_replies = 1
-            verdict = await operator.submit(publish(operator.state.version))
-            self.assertIsInstance(verdict, Accepted)
+            outcome = await operator.submit(publish(operator.state.version))
+            self.assertIsInstance(outcome, Accepted)
             self.assertEqual(operator.state.version, 2)
 
     @virtual
     async def test_submit_two_with_the_first_refused(self) -> None:
-        # One process appends two records at once, and the log refuses the
-        # first. Appended again behind the second, it would look like a
-        # repeat and be dropped: a report of an order done, say, for ever.
+        # One process appends two records concurrently and the log refuses the first.
+        # Appended again behind the second, the first would be taken for a
+        # duplicate and dropped for good, such as a report that an order is done.
         async with Bed.open(configuration()) as bed, bed.operator() as operator:
             await settle()
-            verdicts: list[Verdict] = []
+            outcomes: list[Verdict] = []
 
             async def claim(name: str) -> None:
-                verdicts.append(await operator.submit(ClaimLease(name, operator.writer, -1)))
+                outcomes.append(await operator.submit(ClaimLease(name, operator.writer, -1)))
 
             bed.log.faults.away = True
             async with trio.open_nursery() as nursery:
@@ -205,12 +204,12 @@
                 await trio.sleep(0.01)
                 bed.log.faults.away = False
                 nursery.start_soon(claim, 'second')
-            self.assertEqual([type(verdict) for verdict in verdicts], [Accepted, Accepted])
+            self.assertEqual([type(outcome) for outcome in outcomes], [Accepted, Accepted])
 
     @virtual
     async def test_join_after_trimming(self) -> None:
-        # All records that the newest snapshot covers were trimmed. A process that starts now
-        # takes the snapshot and folds the tail; the version is what it was.
+        # All records that the newest snapshot covers were trimmed. A new process must
+        # load the snapshot, fold the later records and reach the same version.
         async with Bed.open(configuration()) as bed, bed.operator() as operator:
             await settle(LEASE_S)
             page = await bed.log.read('snapshots.boat-bazaar', 0, 0)
@@ -223,8 +222,8 @@
 
     @virtual
     async def test_join_with_history_lost(self) -> None:
-        # Records were trimmed and no snapshot covers them. A process that
-        # starts now must not guess: it serves nothing and says the remedy.
+        # Records were trimmed and no snapshot covers them. A new process must not
+        # serve from a partial state: it ends with an error that names the remedy.
         async with Bed.open(configuration(), entries=0) as bed:
             await settle()
             bed.log.trim('control.boat-bazaar', 1)
@@ -234,8 +233,8 @@
 
     @virtual
     async def test_serve_through_log_outage(self) -> None:
-        # The log is away for ten minutes. Requests are answered as before,
-        # under the last configuration; afterwards changes work again.
+        # The log is unavailable for ten minutes. Requests must be answered under the
+        # last configuration, and changes must work again afterwards.
         async with Bed.open(configuration()) as bed:
             await settle(LEASE_S)
             bed.log.faults.away = True
@@ -252,12 +251,12 @@
 
 
 class StopTest(TestCase):
-    """Planned stops."""
+    """Graceful stops of agents and instances."""
 
     @virtual
     async def test_rolling_restart_under_load(self) -> None:
-        # Every agent and entry is stopped gracefully and replaced, one by
-        # one, under load. No caller notices anything.
+        # All agents are stopped gracefully and replaced one by one under load, then
+        # one instance is stopped. Every request must be answered.
         async with Bed.open(configuration(size=3)) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
--- a/tests/runtime/test_events.py
+++ b/tests/runtime/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events."""
+"""Tests of the catalogue of log events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CatalogueTest(TestCase):
-    """The page and the code."""
+    """The page docs/EVENTS.md lists the same events as the code."""
 
     def test_catalogue_agrees(self) -> None:
         listed = [line for line in CATALOGUE.read_text(encoding='utf-8').splitlines() if line[2:3].isdigit()]
--- a/tests/runtime/test_fleets.py
+++ b/tests/runtime/test_fleets.py
@@ -1,4 +1,4 @@
-"""What entries know of large fleets, together."""
+"""Tests of the subsets of large fleets that instances know."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class SubsetTest(TestCase):
-    """No entry but the leader knows a large fleet whole."""
+    """Only the leader knows all runners of a large fleet."""
 
     @virtual
     async def test_runners_watched_after_a_restart(self) -> None:
-        # The part that follows the configuration fails and is restarted. The
-        # tasks that beat ended with it; left as they were, the views would
-        # look alive for ever, and a lost runner would go on getting work.
+        # The task that follows the configuration fails and is restarted, which ends
+        # the heartbeat tasks too. If the views were kept, they would look alive
+        # for ever and a failed runner would go on getting work.
         async with Bed.open(configuration(size=2), entries=1) as bed:
             await settle()
             fleets = bed.entries['entry-1'].entry.fleets
@@ -37,9 +37,9 @@
 
     @virtual
     async def test_leader_knows_all_the_work(self) -> None:
-        # Each entry beats with a few agents only, so no agent hears all of
-        # them. The planner must still see all the work that was asked for,
-        # or it would plan for a part of it.
+        # Each instance exchanges heartbeats with a few agents only, so no agent
+        # knows all instances. The planner must still see the total demand, or it
+        # would plan for a part of it.
         async with Bed.open(configuration(size=SIZE), entries=3) as bed:
             await settle(LEASE_S)
             leaders = [name for name, started in bed.entries.items() if len(started.entry.fleets.views) == SIZE]
@@ -52,7 +52,7 @@
                     await trio.sleep(0.25)
             leader = bed.entries[leaders[0]].entry
             reports = [view.report for view in leader.fleets.views.values() if view.report]
-            heard = [report.offered.main_long.requests for report in reports]
+            reported = [report.offered.main_long.requests for report in reports]
             fleets = [started.entry.fleets for started in bed.entries.values()]
-            counted = sum(found.offered('verdict-llm').main_long.requests for found in fleets)
-            self.assertAlmostEqual(sum(heard) / len(heard), counted, delta=counted / 4)
+            counted = sum(own_fleets.offered('verdict-llm').main_long.requests for own_fleets in fleets)
+            self.assertAlmostEqual(sum(reported) / len(reported), counted, delta=counted / 4)
--- a/tests/runtime/test_keys.py
+++ b/tests/runtime/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys across entries, deaths and outages."""
+"""Tests of idempotency keys across instances, restarts and outages."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class KeysTest(TestCase):
-    """The same key, sent more than once."""
+    """A key that is sent more than once runs at most once."""
 
     @virtual
     async def test_same_key_again_at_another_entry(self) -> None:
-        # The caller saw no confirmation and sends its key again; the
-        # balancer picks another entry. It gets the kept answer, not a run.
+        # A caller that got no confirmation sends its key again, and the load
+        # balancer picks another instance. The caller must get the stored answer.
         async with Bed.open(configuration()) as bed:
             await settle()
             first = await call(bed, BOOKING, 'entry-1')
@@ -31,8 +31,8 @@
 
     @virtual
     async def test_same_key_at_once(self) -> None:
-        # Two entries get the key in the same moment. One runs it; the other
-        # waits for that run and hands out the same answer.
+        # Two instances get the key at the same time. One must run the request, and
+        # the other must wait for that run and return the same answer.
         async with Bed.open(configuration()) as bed:
             await settle()
             async with trio.open_nursery() as nursery:
@@ -45,8 +45,8 @@
 
     @virtual
     async def test_caller_gone_and_back(self) -> None:
-        # The caller's connection breaks in mid-run. The run goes on, and
-        # the key, sent again, brings its answer.
+        # The caller's connection breaks during the run. The run must go on, and the
+        # repeated key must return its answer.
         async with Bed.open(configuration()) as bed:
             await settle()
             req = BOOKING._replace(job=BOOKING.job._replace(output_tokens=400))
@@ -57,9 +57,9 @@
 
     @virtual
     async def test_entry_stopped_after_caller_left(self) -> None:
-        # The caller hangs up and its entry is stopped as planned, with the
-        # run still under way. The stop waits for it, and the key, sent to
-        # another entry, brings the whole answer.
+        # The caller disconnects and its instance is stopped gracefully during the
+        # run. The stop must wait for the run, and the key, sent to another
+        # instance, must return the whole answer.
         async with Bed.open(configuration()) as bed:
             await settle()
             req = BOOKING._replace(job=BOOKING.job._replace(output_tokens=400))
@@ -71,9 +71,9 @@
 
     @virtual
     async def test_homes_lost(self) -> None:
-        # Every agent is replaced, and with them the kept answers. The claim
-        # is on the log: the key must not run again, and since nobody knows
-        # how the run ended, the truth is "unknown".
+        # All agents are replaced, so the stored answers are lost. The claim is in
+        # the log: the key must not run again. How the run ended is not recorded,
+        # so the answer must be "unknown".
         async with Bed.open(configuration()) as bed:
             await settle()
             await call(bed, BOOKING)
@@ -85,9 +85,9 @@
 
     @virtual
     async def test_log_outage(self) -> None:
-        # The log is away: no claim can be made, so nothing runs, and the
-        # caller learns it within seconds. When the log is back the same key
-        # runs once.
+        # The log is unavailable, so the key cannot be claimed. The request must not
+        # run, and the caller must get that answer within 5 s. When the log is
+        # available again, the same key must run once.
         async with Bed.open(configuration()) as bed:
             await settle()
             bed.log.faults.away = True
@@ -102,8 +102,8 @@
 
     @virtual
     async def test_claim_reply_lost(self) -> None:
-        # The append of the claim takes effect and its reply is lost. Reading
-        # back shows the claim, and the request runs without a second one.
+        # The claim is appended but the reply is lost. Reading the log shows the
+        # claim, so the request must run without a second one.
         async with Bed.open(configuration()) as bed:
             await settle()
             bed.log.faults.lose_replies = 1
@@ -122,9 +122,9 @@
 
     @virtual
     async def test_entries_disagree_about_the_home(self) -> None:
-        # Each entry is cut off from another agent, so they ask two homes for
-        # the same key at once. Both homes append a claim; the log's order
-        # lets one run, and the other caller is told that it is not known.
+        # Each instance is cut off from a different agent, so they ask two owners for
+        # the same key at once. Both owners append a claim. The order of the log
+        # lets one of them run, and the other caller must get "unknown".
         async with Bed.open(configuration()) as bed:
             await settle()
             bed.wires['entry-1', 'verdict-1'].cut = True
--- a/tests/runtime/test_log_output.py
+++ b/tests/runtime/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines that must never hold the process up."""
+"""Tests of log output, which must never block the process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class NonBlockingOutputTest(TestCase):
-    """A pipe whose reader hangs."""
+    """Output to a pipe that nobody reads."""
 
     def test_full_pipe(self) -> None:
-        """Whoever reads the logs hangs, and the pipe fills up.
+        """The reader of the logs hangs and the pipe fills up.
 
-        A blocking write would stop every request of the process. Lines are
-        dropped and counted, and written again once there is room.
+        A blocking write would stop every request of the process. Lines must be
+        dropped and counted, and written again once the pipe has room.
         """
         reading, writing = os.pipe()
         output = NonBlockingOutput(writing)
@@ -42,7 +42,7 @@
 
 
 class RateLimitTest(TestCase):
-    """More decisions than lines."""
+    """The limit on log lines during a burst."""
 
     def test_burst_bounded(self) -> None:
         limit = RateLimit()
@@ -51,7 +51,7 @@
         self.assertGreater(limit.suppressed, 0)
 
     def test_warnings_pass(self) -> None:
-        """A warning passes in any burst, and tells how many lines were left out."""
+        """A warning passes during a burst, with the number of suppressed lines."""
         limit = RateLimit()
         for _ in range(5 * int(BURST_LINES)):
             limit.filter(_record(logging.INFO))
--- a/tests/runtime/test_stop.py
+++ b/tests/runtime/test_stop.py
@@ -1,4 +1,4 @@
-"""Signals to a process."""
+"""Tests of the signals that reload and stop a process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class StopTest(TestCase):
-    """Real signals, sent by the process to itself."""
+    """Signals that the process sends to itself."""
 
     def test_reload_signal_keeps_running(self) -> None:
-        """The signal to reload comes twice, before and during the stop.
+        """The reload signal arrives twice, before and during the stop.
 
-        Left to its default it ends the process with all its requests; here
-        it reloads, and the process winds down only when told to stop.
+        By default it would end the process with all its requests. It must reload
+        instead, and only the stop signal may shut the process down.
         """
         seen: list[str] = []
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Passing over known failures, and over nothing else."""
+"""Tests of the plugin that marks known failures as expected."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def outcome_of(listed: str, failed: str, outcome: str = 'failed') -> bool:
-    """Tell whether the failure of a test is expected, with another one listed."""
+    """Tell whether the plugin marks the outcome of one test as expected when ``listed`` is on the list."""
     event = SimpleNamespace(outcome=outcome, expected=False, test=SimpleNamespace(id=lambda: failed))
     with patch.object(known_red, 'listed', lambda: (listed,)):
         known_red.KnownRed().setTestOutcome(event)
@@ -18,7 +18,7 @@
 
 
 class KnownRedTest(TestCase):
-    """The plugin of the test runner."""
+    """Only failures of listed tests are expected."""
 
     def test_listed(self) -> None:
         self.assertTrue(outcome_of('tests.a.T.test_x', 'tests.a.T.test_x'))
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Running tests in virtual time, and callers that remember what they saw."""
+"""A decorator that runs tests in virtual time, and callers that record their answers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def virtual(test: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
-    """Run an async test method on a clock that jumps over idle time."""
+    """Run an async test method on a virtual clock that skips idle time."""
 
     @wraps(test)
     def run(case: Any) -> None:
@@ -35,7 +35,7 @@
 
 
 class Seen(NamedTuple):
-    """What a caller saw: the outcome, the text, and the seconds it took."""
+    """What a caller received: the outcome, the text, and the seconds until it was complete."""
 
     outcome: Outcome
     text: str
@@ -43,7 +43,7 @@
 
 
 def request(**changes: Any) -> CallerRequest:
-    """Return a whole completion of 40 tokens on a prompt of 1,200."""
+    """Return an unstreamed completion request: a prompt of 1,200 tokens and an answer of 40."""
     job_changes = {name: changes.pop(name) for name in tuple(changes) if name in Job._fields}
     fields: dict[str, Any] = {
         'kind': 'engine',
@@ -70,17 +70,17 @@
 
 
 def body(number: int) -> bytes:
-    """Return a caller's body that no other number has."""
+    """Return a request body that is unique to ``number``."""
     return msgspec.json.encode({'prompt': f'survey {number}'})
 
 
 def expected_text(req: CallerRequest) -> str:
-    """Return the whole answer that a stand-in engine gives."""
+    """Return the whole text that a stand-in engine generates for a request."""
     return answer_text(seed_of(req.job.body), 0, req.job.output_tokens)
 
 
 async def call(bed: Bed, req: CallerRequest, entry: str = 'entry-1') -> Seen:
-    """Send a request and note what comes back."""
+    """Send a request to an instance and record the answer."""
     chunks: list[bytes] = []
 
     async def emit(chunk: bytes) -> None:
@@ -92,10 +92,10 @@
 
 
 class Calls:
-    """Calls that run side by side."""
+    """Sends requests concurrently and records the answers."""
 
     def __init__(self, bed: Bed, nursery: trio.Nursery) -> None:
-        """Send to ``bed`` from tasks in ``nursery``."""
+        """Send to the instances of a deployment from tasks in ``nursery``."""
         self.seen: list[tuple[CallerRequest, Seen]] = []
         self._bed = bed
         self._nursery = nursery
@@ -109,14 +109,14 @@
 
 
 def replace_all_agents(bed: Bed) -> None:
-    """Kill every agent and start its successor at once."""
+    """Kill every agent and start its successor immediately."""
     for runner in tuple(bed.agents):
         bed.agents[runner].scope.cancel()
         bed.start_agent(runner)
 
 
 async def settle(seconds: float = SETTLE_S) -> None:
-    """Let the bed run for a while."""
+    """Let the deployment run for some seconds."""
     await trio.sleep(seconds)
 
 
