--- a/packages/sesamepoint/src/sesamepoint/agent/agent.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/agent.py
@@ -1,4 +1,4 @@
-"""The only door to one upstream: every attempt and order passes here."""
+"""Agent of one upstream, through which all attempts and orders reach it."""
 
 from __future__ import annotations
 
@@ -43,22 +43,22 @@
 
 
 class Agent:
-    """Runs attempts at its upstream and tells how they went.
+    """Runs attempts at its upstream and reports their outcome.
 
     Parameters
     ----------
     runner
-        Name of the runner it sits beside.
+        Name of the runner that the agent serves.
     upstream
-        The adapter to the upstream.
+        Adapter of the upstream.
     follower
-        The control log's fold; its writer is the agent's incarnation.
+        Follower of the control log; its writer name is the agent's incarnation.
     homes
-        The idempotency keys that it gathers for.
+        Coordinators of the shards of idempotency keys that this agent serves.
     """
 
     def __init__(self, runner: str, upstream: Upstream, follower: Follower, homes: KeyHomes) -> None:
-        """Start closed; :meth:`run_parts` opens the door."""
+        """Start not ready; attempts are accepted once :meth:`serve_attempts` runs."""
         self.runner = runner
         self.incarnation = follower.writer
         self.homes = homes
@@ -74,11 +74,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new attempts are taken."""
+        """Whether new attempts are accepted."""
         return not (self.leaving or self.held or self.load.changing or self._nursery is None)
 
     async def run(self, req: RunRequest, send: Callable[[Frame], None]) -> None:
-        """Start or find the attempt and send its frames."""
+        """Start or resume the attempt and send its frames."""
         attempt = self.attempts.get(req.attempt) or self._admit(req)
         attempt.listeners += 1
         try:
@@ -90,7 +90,7 @@
             self.ended.set_off()
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
-        """Stop an attempt; one never seen is barred from starting."""
+        """Stop an attempt; one not seen yet is prevented from starting later."""
         attempt = self.attempts.get(req.attempt)
         if attempt is None:
             end = End.not_started if req.incarnation == self.incarnation else End.unknown
@@ -102,13 +102,13 @@
         return CancelReply(attempt.end.end)
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Answer with a sign of life and the load."""
+        """Answer a heartbeat with the load."""
         await trio.lowlevel.checkpoint()
         self.offered.hear(req)
         return self.report()
 
     def report(self) -> LoadReport:
-        """Return the load as it is known now."""
+        """Return the status and the last known load."""
         return LoadReport(
             runner=self.runner,
             incarnation=self.incarnation,
@@ -120,19 +120,19 @@
         )
 
     async def sync(self, req: SyncRequest) -> SyncReply:
-        """Hand out records that the asker lacks."""
+        """Return the control log records after the given offset."""
         return SyncReply(self.follower.records_after(req.after))
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Answer for an idempotency key."""
+        """Handle a claim on an idempotency key."""
         return await self.homes.claim(req)
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Keep the answer for an idempotency key."""
+        """Store the outcome of the run under an idempotency key."""
         return await self.homes.settle(req)
 
     async def serve_attempts(self) -> None:
-        """Hold the nursery in which attempts run."""
+        """Run attempts until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
@@ -141,16 +141,16 @@
                 self._nursery = None
 
     async def watch_load(self) -> None:
-        """Keep the newest report of the upstream."""
+        """Request the load from the upstream periodically."""
         while True:
             await self.refresh_load()
             await trio.sleep(LOAD_INTERVAL_S)
 
     async def refresh_load(self) -> UpstreamLoad:
-        """Ask the upstream now; a silent one counts as not ready.
+        """Request the load from the upstream; without a reply it counts as not ready.
 
-        Until it answers the last report stands: an agent that called itself
-        not ready while it asked would turn work away each time.
+        The last report stays valid until the reply: if the agent were not
+        ready during each request, it would reject work each time.
         """
         load = UNKNOWN_LOAD._replace(role=self.load.role)
         with trio.move_on_after(CLEAN_UP_S), suppress(UpstreamError, UnreachableError):
@@ -159,26 +159,26 @@
         return load
 
     async def tidy(self) -> None:
-        """Stop attempts that nobody listens to and forget old ones."""
-        unheard: dict[int, int] = {}
+        """Cancel attempts without listeners and remove old ones."""
+        orphan_rounds: dict[int, int] = {}
         while True:
             await trio.sleep(PRUNE_INTERVAL_S)
             self.attempts.prune()
-            unheard = self._cancel_orphans(unheard)
+            orphan_rounds = self._cancel_orphans(orphan_rounds)
 
     async def drained(self) -> None:
-        """Wait until nothing runs and every listener has its end."""
+        """Wait until nothing runs and every listener received the end frame."""
         while self.attempts.running:
             await self.ended.wait()
 
     def _cancel_orphans(self, unheard: dict[int, int]) -> dict[int, int]:
-        alone = [found for found in self.attempts if found.end is None and not found.listeners]
-        rounds = {id(found): unheard.get(id(found), 0) + 1 for found in alone}
-        for found in alone:
-            # Its entry died. Left running, it would take the engine's time
-            # from answers that somebody still waits for.
-            if rounds[id(found)] * PRUNE_INTERVAL_S > ORPHAN_S:
-                found.scope.cancel()
+        orphans = [attempt for attempt in self.attempts if attempt.end is None and not attempt.listeners]
+        rounds = {id(orphan): unheard.get(id(orphan), 0) + 1 for orphan in orphans}
+        for orphan in orphans:
+            # Its instance failed. If it kept running, it would take engine
+            # time from answers that callers still wait for.
+            if rounds[id(orphan)] * PRUNE_INTERVAL_S > ORPHAN_S:
+                orphan.scope.cancel()
         return rounds
 
     def _admit(self, req: RunRequest) -> Attempt:
@@ -193,12 +193,12 @@
 
     def _refusal(self, req: RunRequest) -> tuple[End, str] | None:
         if req.incarnation != self.incarnation:
-            # A former incarnation may have run a resumed attempt. One sent
-            # for the first time was sent here only, and stops here.
+            # A previous incarnation may have run a resumed attempt. One sent
+            # for the first time was sent only here, so it has not started.
             return (End.unknown if req.resume else End.not_started), 'other_incarnation'
         if req.resume:
-            # The first message was lost or is still on its way. The attempt
-            # now stands here as ended, so the late message cannot start it.
+            # The first message was lost or is delayed. The attempt is now
+            # recorded as ended, so the delayed message can't start it.
             return End.not_started, NEVER_ARRIVED
         if not self.ready:
             return End.not_started, 'not_ready'
@@ -224,8 +224,8 @@
         except UpstreamError:
             attempt.finish(End.failed if attempt.chunks else End.unknown, 'upstream_broke_off')
         except Exception as exc:
-            # An answer that the adapter cannot read must end its own attempt
-            # only; let through, it would end every other run beside it.
+            # An answer that the adapter can't parse must end only its own
+            # attempt; raised from here, the error would end all others too.
             events.log_event(events.ATTEMPT_BROKE, attempt=req.attempt, cause=repr(exc))
             attempt.finish(End.failed if attempt.chunks else End.unknown, 'upstream_unreadable')
         else:
--- a/packages/sesamepoint/src/sesamepoint/agent/attempts.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts an agent knows, running and ended."""
+"""Table of an agent's attempts, running and ended."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Attempt:
-    """One attempt: its chunks so far, and its end.
+    """One attempt: its chunks so far and its end frame.
 
-    It belongs to no connection. Any number of streams may listen, come late
-    and leave; the run goes on, so a broken connection costs nothing but
-    the chunks in flight, and those are still here.
+    It is not bound to a connection. Any number of streams may listen, and may
+    start and stop at any time; the run continues. A broken connection loses
+    only the chunks in flight, which are still stored here.
     """
 
     def __init__(self, timeout_s: float) -> None:
@@ -34,18 +34,18 @@
         self.changed = Signal()
 
     def add(self, chunk: bytes) -> None:
-        """Keep the next chunk."""
+        """Append the next chunk."""
         self.chunks.append(chunk)
         self.changed.set_off()
 
     def finish(self, end: End, code: str = '') -> None:
-        """Settle how it ended; the first word stands."""
+        """Record how it ended; the first outcome is kept."""
         if self.end is None:
             self.end = Frame(FrameKind.end, len(self.chunks), b'', end, code)
         self.changed.set_off()
 
     async def frames(self, from_chunk: int) -> AsyncGenerator[Frame, None]:
-        """Yield frames from ``from_chunk`` to the end, beats in between."""
+        """Yield frames from ``from_chunk`` to the end frame, with heartbeats while no chunk arrives."""
         number = from_chunk
         while True:
             while number < len(self.chunks):
@@ -59,10 +59,11 @@
 
 
 class AttemptTable:
-    """Attempts by identity, forgotten some time after their deadline.
+    """Attempts by identity, removed some time after their deadline.
 
-    An entry never resumes after the caller's deadline. Whatever is missing
-    here before that time has truly not been seen by this incarnation.
+    An instance never resumes an attempt after the caller's deadline. An
+    attempt that is missing here before its deadline was never received by this
+    incarnation.
     """
 
     def __init__(self) -> None:
@@ -75,11 +76,11 @@
 
     @property
     def running(self) -> int:
-        """How many have not ended or still have a listener."""
-        return sum(found.end is None or bool(found.listeners) for found in self)
+        """Number of attempts that have not ended or still have a listener."""
+        return sum(attempt.end is None or bool(attempt.listeners) for attempt in self)
 
     def get(self, name: str) -> Attempt | None:
-        """Look an attempt up."""
+        """Return an attempt, or None if it is not in the table."""
         return self._attempts.get(name)
 
     def create(self, name: str, timeout_s: float) -> Attempt:
@@ -88,10 +89,10 @@
         return self._attempts[name]
 
     def prune(self) -> None:
-        """Forget ended attempts whose deadline is long past."""
+        """Remove ended attempts some time after their deadline."""
         horizon = trio.current_time() - GRACE_S
-        old = [name for name, found in self._attempts.items() if found.end and found.deadline < horizon]
-        for name in old:
+        expired = [name for name, attempt in self._attempts.items() if attempt.end and attempt.deadline < horizon]
+        for name in expired:
             self._attempts.pop(name)
 
 
--- a/packages/sesamepoint/src/sesamepoint/agent/offered.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/offered.py
@@ -1,4 +1,4 @@
-"""What the entries that ask here were asked for, added up."""
+"""Sum of the demands that instances report in their heartbeats."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Heard(NamedTuple):
-    """One entry's word and when it came."""
+    """Demand that one instance reported, and the time it arrived."""
 
     at: float
     offered: Offered
 
 
 class OfferedTable:
-    """The newest word of each entry that was heard lately.
+    """Newest reported demand of each instance with a recent heartbeat.
 
-    The sum is made anew at most once in ``SUM_INTERVAL_S``: made at every
-    beat, it cost an agent with 350 entries more than a whole core.
+    The sum is recomputed at most once in ``SUM_INTERVAL_S``. Recomputed at
+    every heartbeat, it took an agent with 350 instances more than a core.
     """
 
     def __init__(self) -> None:
@@ -36,22 +36,22 @@
         self._summed_at = float('-inf')
 
     def hear(self, req: BeatRequest) -> None:
-        """Take an entry's word."""
+        """Store the demand from an instance's heartbeat."""
         self._heard[req.entry] = Heard(trio.current_time(), req.offered)
 
     def total(self) -> Offered:
-        """Return the sum over the entries that were heard lately."""
+        """Return the sum over the instances with a recent heartbeat."""
         now = trio.current_time()
         if now - self._summed_at >= SUM_INTERVAL_S:
-            self._heard = {entry: heard for entry, heard in self._heard.items() if now - heard.at < FRESH_S}
+            self._heard = {name: report for name, report in self._heard.items() if now - report.at < FRESH_S}
             self._total = self._sum()
             self._summed_at = now
         return self._total
 
     def _sum(self) -> Offered:
         total = Offered()
-        for heard in self._heard.values():
-            total = total.plus(heard.offered)
+        for report in self._heard.values():
+            total = total.plus(report.offered)
         return total
 
 
--- a/packages/sesamepoint/src/sesamepoint/agent/orders.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/orders.py
@@ -1,4 +1,4 @@
-"""Carrying out the orders that stand on the control log."""
+"""Execution of the orders to a runner on the control log."""
 
 from __future__ import annotations
 
@@ -26,28 +26,29 @@
 
 
 class OrderExecutor:
-    """Claims the runner's slot, then keeps the upstream as ordered.
+    """Claims the lease on the runner's slot, then executes the orders to its upstream.
 
-    Orders come from the fold only: one whose holder or version was no
-    longer current at its own offset never shows up here. One at a time is
-    carried out; what came meanwhile is reduced to the newest.
+    Orders are read only from the state derived from the log. An order whose
+    lease holder or version was outdated at the order's offset is rejected
+    there and never executed. Orders are executed one at a time; of those that
+    arrive meanwhile only the newest counts.
     """
 
     def __init__(self, agent: Agent) -> None:
-        """Act for ``agent``."""
+        """Execute the orders to the runner of ``agent``."""
         self._agent = agent
         self._follower = agent.follower
         self._slot = f'slot/{agent.runner}'
         self._succeeds = False
 
     async def execute(self) -> None:
-        """Claim the slot and carry orders out, until cancelled."""
+        """Claim the slot and execute orders until another agent claims it."""
         await self._follower.recovered.wait()
         await self._claim()
         while self._holds_slot():
             await self._act(self._standing())
-        # A newer agent claimed the slot: this one woke from a pause, or was
-        # replaced. It takes no more work, so entries turn to its successor.
+        # A newer agent claimed the slot: this one was paused or replaced. It
+        # accepts no more work, so that instances use its successor.
         events.log_event(events.LEASE_LOST, lease=self._slot)
         self._agent.leaving = True
 
@@ -62,13 +63,14 @@
 
     async def _claim(self) -> None:
         while not self._holds_slot():
-            former = self._follower.state.leases.get(self._slot)
-            last_seen = former.renewed if former else NEVER
-            self._succeeds = former is not None
-            verdict = await self._follower.submit(ClaimLease(self._slot, self._agent.incarnation, last_seen))
-            if isinstance(verdict, Accepted) and former is not None:
-                # The former agent may act on a read of the log that is up to
-                # PERMISSION_S old; after that it has read of this claim.
+            previous = self._follower.state.leases.get(self._slot)
+            last_seen = previous.renewed if previous else NEVER
+            self._succeeds = previous is not None
+            outcome = await self._follower.submit(ClaimLease(self._slot, self._agent.incarnation, last_seen))
+            if isinstance(outcome, Accepted) and previous is not None:
+                # The previous agent may still act on a read of the log that
+                # began before this claim, until its permission expires. To get
+                # another permission it must read this claim.
                 await trio.sleep(PERMISSION_S + MARGIN_S)
         events.log_event(events.SLOT_CLAIMED, runner=self._agent.runner)
 
@@ -107,9 +109,9 @@
     async def _idle(self) -> None:
         """Wait until the upstream itself runs nothing.
 
-        A former agent that was killed left its runs at the upstream, and
-        this one does not know them. An order would drop them, though they
-        may be bookings that take effect.
+        A previous agent that was killed left its runs at the upstream, and
+        this one has no record of them. Executing an order would drop them,
+        although they may be requests with side effects, such as bookings.
         """
         if not self._succeeds:
             return
@@ -120,10 +122,10 @@
             load = await self._agent.refresh_load()
 
     async def _permitted(self, order: StandingOrder) -> bool:
-        """Read the log to its end, then look whether the order still stands.
+        """Read the log to its end, then check that the order is still current.
 
-        The answer is good for ``PERMISSION_S`` from the start of the read;
-        a slow read is worth nothing, since a successor may be acting.
+        The permission expires a fixed time after the start of the read. A read
+        that takes longer permits nothing, since a successor may already act.
         """
         asked_at = trio.current_time()
         try:
@@ -138,7 +140,7 @@
             await trio.sleep(CHECK_S)
 
     async def _report(self, order: StandingOrder) -> None:
-        # The runner serves again before this is written: a log that is away
+        # The runner serves again before this is written: an unavailable log
         # must not keep a runner out of service.
         with trio.move_on_after(REPORT_WAIT_S):
             await self._follower.submit(OrderDone(self._agent.runner, order.offset, self._agent.load.role))
--- a/packages/sesamepoint/src/sesamepoint/agent/tree.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/tree.py
@@ -1,4 +1,4 @@
-"""The supervised parts of an agent, whatever carries its links."""
+"""Supervised children of an agent, for any transport of its links."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def agent_children(agent: Agent) -> list[Child]:
-    """Return the parts that every agent runs."""
+    """Return the children that every agent runs."""
     return [
         Child('follower', agent.follower.follow),
         Child('attempts', agent.serve_attempts),
--- a/packages/sesamepoint/src/sesamepoint/keys/asker.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/asker.py
@@ -1,4 +1,4 @@
-"""An entry's side of the keys: claiming, and telling how a run ended."""
+"""Client of an instance that claims idempotency keys and reports the outcome of runs."""
 
 from __future__ import annotations
 
@@ -28,31 +28,34 @@
 
 
 class KeyAsker:
-    """Finds the home of a key and asks it."""
+    """Calls the coordinator of a key's shard."""
 
     def __init__(self, fleets: Fleets) -> None:
-        """Use the agents of ``fleets`` as homes."""
+        """Use the agents of ``fleets`` as coordinators."""
         self._fleets = fleets
 
     async def claim(self, claim: Claim, timeout_s: float) -> ClaimReply:
-        """Ask until there is a word, or the time for one is up.
+        """Repeat the claim until it gets a final reply or the time is up.
 
-        A key that runs elsewhere is waited for until the deadline. A home
-        that is not to be had, or cannot write, is waited for briefly: the
-        caller learns soon that nothing ran.
+        While a run under the key is in progress elsewhere, this waits until
+        the deadline. If the coordinator can't be reached or can't write, it
+        waits only briefly, so that the caller soon learns that nothing ran.
         """
         deadline = trio.current_time() + timeout_s
-        give_up_at = min(deadline, trio.current_time() + CLAIM_WAIT_S)
+        coordinator_deadline = min(deadline, trio.current_time() + CLAIM_WAIT_S)
         while True:
             reply = await self._ask(claim, deadline - trio.current_time())
-            limit = deadline if reply.standing is Standing.running else give_up_at
+            wait_until = deadline if reply.standing is Standing.running else coordinator_deadline
             final = reply.standing not in {Standing.running, Standing.unavailable}
-            if final or trio.current_time() >= limit:
+            if final or trio.current_time() >= wait_until:
                 return reply
             await trio.sleep(ASK_AGAIN_S)
 
     async def settle(self, claim: Claim, end: End, code: str, chunks: Sequence[bytes]) -> None:
-        """Tell the home how the run ended; without it the key is `unknown`."""
+        """Report to the coordinator how the run ended.
+
+        Without this report later claims on the key get the status `unknown`.
+        """
         req = SettleRequest(shard_of(claim.key), claim, end, code, tuple(chunks))
         for _ in range(SETTLE_TRIES):
             view = self._home(req.shard)
@@ -79,17 +82,18 @@
             return ClaimReply(Standing.unavailable)
 
     def _home(self, shard: int) -> RunnerView | None:
-        """Return the agent that gathers for a shard.
+        """Return the agent that coordinates a shard.
 
-        Entries that see different agents alive pick different homes; then
-        answers are kept apart and claims still meet on the log.
+        Instances with different views of which agents are alive choose
+        different coordinators. Answers are then stored separately, but the
+        order of the log still decides claims.
         """
         alive = [view for view in self._fleets.views.values() if view.alive]
         return max(alive, key=lambda view: zlib.crc32(f'{shard} {view.name}'.encode()), default=None)
 
 
 def claim_of(req: CallerRequest, owner: str) -> Claim:
-    """Return the claim of a request on its account's key."""
+    """Return a request's claim on its idempotency key, which is scoped to its account."""
     key = _digest(req.account.encode(), req.key.encode())
     return Claim(key, owner, _digest(req.job.method.encode(), req.job.path.encode(), req.job.body))
 
--- a/packages/sesamepoint/src/sesamepoint/keys/home.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/home.py
@@ -1,4 +1,4 @@
-"""The home of a shard of keys: gathers claims into batches on the log."""
+"""Coordinator of one shard of idempotency keys, which appends claims to the log in batches."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Kept(NamedTuple):
-    """How an owner's run ended, and its answer."""
+    """Outcome and answer of a claim owner's run."""
 
     owner: str
     end: End
@@ -36,25 +36,25 @@
 
 
 class KeyHome:
-    """One shard: its fold, the claims to be written, the kept answers.
+    """State of one shard: valid claims, claims to be written, stored answers.
 
-    Being the home is no authority, only a place to gather: whether a claim
-    holds is decided by the order of the shard's stream.
+    A coordinator only batches claims and has no authority over them: the
+    order of the shard's stream decides whether a claim is valid.
 
     Parameters
     ----------
     log
-        The platform's log.
+        Log service of the platform.
     stream
-        The shard's stream.
+        Name of the shard's stream.
     writer
-        This process's incarnation.
+        Writer name in the batches: the process's incarnation and the shard.
     wall
         The wall clock, in seconds.
     """
 
     def __init__(self, log: LogService, stream: str, writer: str, wall: Callable[[], float]) -> None:
-        """Start knowing nothing."""
+        """Start without claims; :meth:`run` reads them from the stream."""
         self._log = log
         self._stream = stream
         self._writer = writer
@@ -71,13 +71,13 @@
         self._first_at: float | None = None
 
     async def run(self) -> None:
-        """Follow the shard's stream and write what is gathered."""
+        """Follow the shard's stream and append pending claims and releases."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow)
             nursery.start_soon(self._write)
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Answer within ``REPLY_S``; the asker asks again as needed."""
+        """Reply within a short timeout; the client repeats the claim if needed."""
         with trio.move_on_after(REPLY_S):
             while self._wall() < self._whole_at:
                 await self._changed.wait()
@@ -85,7 +85,7 @@
         return ClaimReply(Standing.unavailable)
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Take the owner's word on its run."""
+        """Store the outcome of the owner's run, or release a key whose run did not start."""
         await trio.lowlevel.checkpoint()
         claim = req.claim
         self._running.pop(claim.owner, None)
@@ -112,9 +112,9 @@
     async def _of_another(self, held: Claim, claim: Claim) -> ClaimReply:
         if held.digest != claim.digest:
             return ClaimReply(Standing.reused)
-        give_up_at = trio.current_time() + REPLY_S / 2
+        reply_deadline = trio.current_time() + REPLY_S / 2
         while self._running.get(held.owner, 0) > trio.current_time():
-            if not await self._changed.wait_at_most(give_up_at - trio.current_time()):
+            if not await self._changed.wait_at_most(reply_deadline - trio.current_time()):
                 return ClaimReply(Standing.running)
         kept = self._kept.get(claim.key)
         if kept is not None and kept.owner == held.owner:
@@ -122,22 +122,23 @@
         return ClaimReply(Standing.unknown)
 
     def _gather(self, req: ClaimRequest) -> None:
-        # Only the first time: two claims that woke each other with every
-        # look at the fold would keep the process busy for ever.
+        # Signal only for a new claim: otherwise two waiting claims would wake
+        # each other without end and keep the process busy.
         owner = req.claim.owner
         if owner not in self._pending:
             self._pending[owner] = req.claim
-            # From here on, not from the grant: the fold may show the claim
-            # to another asker first, who would be told `unknown`.
+            # The run counts as in progress from here, not from the grant:
+            # another request may see the claim in the log first and would get
+            # `unknown`.
             self._running[owner] = trio.current_time() + req.timeout_s
             self._changed.set_off()
 
     def _keep(self, key: str, kept: Kept) -> None:
-        # A settlement whose receipt was lost comes again; counted twice, its
-        # bytes would push other answers out.
-        former = self._kept.pop(key, None)
-        if former is not None:
-            self._kept_bytes -= sum(map(len, former.chunks))
+        # A client whose reply was lost reports the outcome again. Counting its
+        # bytes twice would evict other answers.
+        previous = self._kept.pop(key, None)
+        if previous is not None:
+            self._kept_bytes -= sum(map(len, previous.chunks))
         self._kept[key] = kept
         self._kept_bytes += sum(map(len, kept.chunks))
         while self._kept_bytes > MAX_KEPT_BYTES:
@@ -167,10 +168,10 @@
                 self._pending.pop(claim.owner, None)
 
     def _whole_from(self, page: LogPage) -> float:
-        """Return from when on no claim can be missing.
+        """Return the wall clock time from which no valid claim can be missing.
 
-        If the stream's beginning was trimmed, a claim that is still alive
-        may be gone with it; granting its key would be a second run.
+        If the beginning of the stream was trimmed, a claim that is still
+        valid may be missing; granting its key would cause a second run.
         """
         if page.earliest == 0:
             return 0
@@ -185,7 +186,7 @@
                 await self._changed.wait()
 
     async def _write_batch(self) -> None:
-        """Write all that gathered while the last append was under way."""
+        """Append the claims and releases that arrived during the last append."""
         claims = tuple(self._pending.values())[:MAX_BATCH]
         releases = tuple(self._releases.values())[:MAX_BATCH]
         self._serial += 1
@@ -193,14 +194,14 @@
         try:
             offset = await self._log.append(self._stream, encode_batch(batch))
         except PlatformUnavailableError:
-            # It may have been written all the same. The fold will show it;
-            # what is still pending after that goes into the next batch.
+            # The batch may have been written all the same. Then its claims
+            # appear in the stream; those still pending go into the next batch.
             await trio.sleep(RETRY_S)
             return
         for _, owner in releases:
             self._releases.pop(owner)
-        # Under load all shards together must stay within the log's appends;
-        # a lone claim is written at once.
+        # Under load all shards together must stay within the log's rate of
+        # appends; a single claim is still written at once.
         await trio.sleep(APPEND_GAP_S)
         while self._fold.offset < offset:
             await self._changed.wait()
--- a/packages/sesamepoint/src/sesamepoint/keys/homes.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/homes.py
@@ -1,4 +1,4 @@
-"""The homes that live in one agent, started when first asked for."""
+"""Shard coordinators of one agent, started at the first call for their shard."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class KeyHomes:
-    """All shards that entries brought to this agent."""
+    """Coordinators of the shards for which instances chose this agent."""
 
     def __init__(self, log: LogService, deployment: str, writer: str, wall: Callable[[], float]) -> None:
-        """Start without homes."""
+        """Start without coordinators."""
         self._log = log
         self._deployment = deployment
         self._writer = writer
@@ -28,21 +28,21 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Hold the nursery in which homes run."""
+        """Run the coordinators until cancelled."""
         self._homes.clear()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await trio.sleep_forever()
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Ask the shard's home."""
-        home = self._home(req.shard)
-        return ClaimReply(Standing.unavailable) if home is None else await home.claim(req)
+        """Pass a claim to the shard's coordinator."""
+        coordinator = self._home(req.shard)
+        return ClaimReply(Standing.unavailable) if coordinator is None else await coordinator.claim(req)
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Tell the shard's home."""
-        home = self._home(req.shard)
-        return SettleReply(kept=False) if home is None else await home.settle(req)
+        """Pass the outcome of a run to the shard's coordinator."""
+        coordinator = self._home(req.shard)
+        return SettleReply(kept=False) if coordinator is None else await coordinator.settle(req)
 
     def _home(self, shard: int) -> KeyHome | None:
         if shard not in self._homes and self._nursery is not None:
--- a/packages/sesamepoint/src/sesamepoint/keys/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/messages.py
@@ -10,7 +10,7 @@
 
 
 class Standing(Enum):
-    """How a key stands for the request that asks."""
+    """Status of a key for the request that claims it."""
 
     granted = 'granted'
     running = 'running'
@@ -21,7 +21,7 @@
 
 
 class ClaimRequest(NamedTuple):
-    """Ask for the right to run, or for what became of the run."""
+    """Claim a key, or ask for the outcome of the run under it."""
 
     shard: int
     claim: Claim
@@ -29,7 +29,7 @@
 
 
 class ClaimReply(NamedTuple):
-    """How the key stands; with the kept answer if it is done."""
+    """Status of the key, with the stored answer if the run is done."""
 
     standing: Standing
     end: End = End.unknown
@@ -38,7 +38,7 @@
 
 
 class SettleRequest(NamedTuple):
-    """Tell the home how the owner's run ended."""
+    """Report how the owner's run ended."""
 
     shard: int
     claim: Claim
@@ -48,7 +48,7 @@
 
 
 class SettleReply(NamedTuple):
-    """The home's receipt."""
+    """Reply to a report: whether an answer is stored under the key."""
 
     kept: bool
 
--- a/packages/sesamepoint/src/sesamepoint/link/base.py
+++ b/packages/sesamepoint/src/sesamepoint/link/base.py
@@ -1,4 +1,4 @@
-"""What an entry can ask of an agent, whatever carries it."""
+"""Interfaces of the calls from an instance to an agent, for any transport."""
 
 from __future__ import annotations
 
@@ -22,58 +22,61 @@
 
 
 class AgentHandler(Protocol):
-    """The agent's side of a link."""
+    """The agent's side of a link: serves the calls of instances."""
 
     async def run(self, req: RunRequest, send: Callable[[Frame], None]) -> None:
-        """Send the frames of an attempt until its end frame."""
+        """Run or resume an attempt and send its frames until the end frame."""
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
         """Stop an attempt."""
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Answer with a sign of life."""
+        """Answer a heartbeat with the load."""
 
     async def sync(self, req: SyncRequest) -> SyncReply:
-        """Hand out records that the asker lacks."""
+        """Return the control log records after the given offset."""
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Answer for an idempotency key."""
+        """Handle a claim on an idempotency key."""
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Keep the answer for an idempotency key."""
+        """Store the outcome of the run under an idempotency key."""
 
 
 class AgentLink(Protocol):
-    """The entry's side of a link; every call raises ``LinkLostError``."""
+    """The instance's side of a link.
+
+    Every call raises ``LinkLostError`` if the connection fails.
+    """
 
     def run(self, req: RunRequest) -> AbstractAsyncContextManager[AsyncIterator[Frame]]:
-        """Open the stream of an attempt's frames, without waiting."""
+        """Open the stream of an attempt's frames without waiting for the first."""
 
     async def cancel(self, req: CancelRequest) -> CancelReply:
         """Stop an attempt."""
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Ask for a sign of life."""
+        """Send a heartbeat and return the load."""
 
     async def sync(self, req: SyncRequest) -> SyncReply:
-        """Ask for records."""
+        """Request control log records."""
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Ask for the right to run under an idempotency key."""
+        """Claim an idempotency key, or return its status."""
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Tell how the run under an idempotency key ended."""
+        """Report how the run under an idempotency key ended."""
 
     @property
     def generation(self) -> int:
-        """Which connection, counted from the first, is in use."""
+        """Number of the connection in use; each new one has a higher number."""
 
     def renew(self, generation: int) -> None:
-        """Give a connection up, if it is still the one in use.
+        """Close the connection if it is still the one in use.
 
-        Whatever runs over it breaks; the next call opens a new one. Each of
-        many calls that broke together asks for this; only the first counts,
-        or they would break each other's new connections without end.
+        Streams over it break, and the next call opens a new connection. When
+        many calls fail together, each calls this; only the first has an
+        effect, or they would keep closing each other's new connections.
         """
 
 
--- a/packages/sesamepoint/src/sesamepoint/link/codec.py
+++ b/packages/sesamepoint/src/sesamepoint/link/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack as grpclib's codec, so that no code is generated."""
+"""MessagePack codec for grpclib, which needs no generated code."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class MessagePackCodec(CodecBase):
-    """Encode the typed messages of the links."""
+    """Encodes and decodes the typed messages of the links."""
 
     __content_subtype__ = 'msgpack'
 
     def __init__(self) -> None:
-        """Prepare one encoder and a decoder per type."""
+        """Create the encoder; decoders are created at the first use of a type."""
         self._encoder = msgspec.msgpack.Encoder()
         self._decoders: dict[type, msgspec.msgpack.Decoder[Any]] = {}
 
--- a/packages/sesamepoint/src/sesamepoint/link/grpc_client.py
+++ b/packages/sesamepoint/src/sesamepoint/link/grpc_client.py
@@ -1,4 +1,4 @@
-"""The entry's gRPC client, run inside trio by trio-asyncio."""
+"""The instance's gRPC client, run inside trio by trio-asyncio."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 class GrpcLink:
-    """One connection to one agent, replaced when it goes silent.
+    """Connection to one agent; closed on request and reopened by the next call.
 
     Must be used inside ``trio_asyncio.open_loop()``.
     """
 
     def __init__(self, address: str) -> None:
-        """Aim at ``address``; connect on the first call."""
+        """Set the address; the first call connects."""
         self._address = address
         self.generation = 0
         self._channel: Channel | None = None
@@ -62,23 +62,23 @@
         return await self._call('Cancel', req, CancelReply)
 
     async def beat(self, req: BeatRequest) -> LoadReport:
-        """Ask for a sign of life."""
+        """Send a heartbeat and return the load."""
         return await self._call('Beat', req, LoadReport)
 
     async def sync(self, req: SyncRequest) -> SyncReply:
-        """Ask for records."""
+        """Request control log records."""
         return await self._call('Sync', req, SyncReply)
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
-        """Ask for the right to run under an idempotency key."""
+        """Claim an idempotency key, or return its status."""
         return await self._call('Claim', req, ClaimReply)
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Tell how the run under an idempotency key ended."""
+        """Report how the run under an idempotency key ended."""
         return await self._call('Settle', req, SettleReply)
 
     def renew(self, generation: int) -> None:
-        """Give a connection up, if it is still the one in use."""
+        """Close the connection if it is still the one in use."""
         if generation == self.generation and self._channel is not None:
             self._channel.close()
             self._channel = None
@@ -100,7 +100,7 @@
 
     async def _pull(self, req: RunRequest, sender: trio.MemorySendChannel[Frame]) -> None:
         method = UnaryStreamMethod[RunRequest, Frame](self._connection(), f'{SERVICE}Run', RunRequest, Frame)
-        # A reader that has gone breaks the channel; its cancel is on the way.
+        # The channel breaks when its receiver is closed; this task is then about to be cancelled.
         with sender, suppress(trio.BrokenResourceError):
             async with method.open() as stream:
                 await stream.send_message(req, end=True)
@@ -116,8 +116,8 @@
             yield frame
             if frame.kind is FrameKind.end:
                 return
-        # The channel closes when the task ends; without an end frame that is
-        # a broken connection, and never a whole answer.
+        # The channel closes when the task ends. Without an end frame the
+        # connection broke and the answer is incomplete.
         cause = 'closed' if task.cancelled() or not task.done() else repr(task.exception())
         raise LinkLostError(self._address, cause)
 
--- a/packages/sesamepoint/src/sesamepoint/link/grpc_server.py
+++ b/packages/sesamepoint/src/sesamepoint/link/grpc_server.py
@@ -43,7 +43,7 @@
         self._handler = handler
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Tell grpclib the methods."""
+        """Return the gRPC methods and their handlers."""
         unary = Cardinality.UNARY_UNARY
         return {
             f'{SERVICE}Run': Handler(self._run, Cardinality.UNARY_STREAM, RunRequest, Frame),
@@ -56,8 +56,9 @@
 
     async def _run(self, stream: Stream[Any, Any]) -> None:
         req = await stream.recv_message()
-        # Frames cross from trio to asyncio by a plain call: both loops are
-        # one thread, and a crossing per token would cost more than the token.
+        # Frames pass from trio to asyncio by a plain call: both loops run in
+        # one thread, and switching loops for each token would cost more than
+        # the token itself.
         frames: asyncio.Queue[Frame] = asyncio.Queue()
         pump = asyncio.ensure_future(trio_asyncio.trio_as_aio(self._handler.run)(req, frames.put_nowait))
         try:
@@ -96,7 +97,7 @@
     Raises
     ------
     OSError
-        If the address is taken.
+        If the address is in use.
     """
     async with trio_asyncio.open_loop():
         server = Server([AgentService(handler)], codec=MessagePackCodec())
--- a/packages/sesamepoint/src/sesamepoint/link/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/link/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between an entry and an agent."""
+"""Typed messages between an instance and an agent."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class Job(NamedTuple):
-    """The work of one request, as the agent hands it to its upstream.
+    """The work of one request, as the agent passes it to its upstream.
 
     Parameters
     ----------
     kind
-        Which kind of fleet serves it: ``engine`` or ``plain``.
+        Kind of the fleet that serves it: ``engine`` or ``plain``.
     method, path
-        For plain services, the call as the caller made it.
+        For plain services, method and path of the caller's request.
     body
-        The caller's body.
+        Body of the caller's request.
     prompt_tokens, output_tokens
-        Length of the prompt and the bound of the answer, in tokens.
+        Length of the prompt and maximum length of the answer, in tokens.
     urgent
-        Whether it belongs to the main job.
+        Whether it belongs to the main class of requests, which has priority at the engine.
     prefix, prefix_tokens
-        Name and length of the prompt's head that others may share.
+        Name of the prompt's prefix that other prompts may share, and its length in tokens.
     """
 
     kind: str
@@ -44,22 +44,22 @@
 
 
 class RunRequest(NamedTuple):
-    """Run an attempt, or go on listening to one.
+    """Run an attempt, or resume its stream.
 
     Parameters
     ----------
     attempt
         Identity of the attempt.
     incarnation
-        The agent's incarnation that the entry means.
+        Incarnation of the agent that the attempt is meant for.
     from_chunk
-        Number of the first chunk wanted.
+        Number of the first chunk to send.
     resume
-        True when the attempt was sent before: it must not start anew.
+        Whether the attempt was sent before; it must not be started again.
     timeout_s
         Seconds left until the caller's deadline.
     job
-        The work; on a resume too, since it is small beside the answer.
+        The work. A resume carries it too, since it is small compared with the answer.
     """
 
     attempt: str
@@ -71,7 +71,7 @@
 
 
 class End(Enum):
-    """How an attempt ended, as its agent knows it."""
+    """How an attempt ended, as far as its agent knows."""
 
     answered = 'answered'
     not_started = 'not_started'
@@ -81,7 +81,7 @@
 
 
 class FrameKind(Enum):
-    """What a frame carries."""
+    """Type of a frame."""
 
     chunk = 'chunk'
     beat = 'beat'
@@ -96,22 +96,22 @@
 
 
 class CancelReply(NamedTuple):
-    """What the attempt had come to."""
+    """How the attempt ended."""
 
     end: End
 
 
 class BeatRequest(NamedTuple):
-    """Ask for a sign of life and the load.
+    """Heartbeat of an instance; the reply carries the load.
 
     Parameters
     ----------
     entry
-        The incarnation that asks.
+        Incarnation of the instance that sends it.
     folded
-        Offset that it folded up to.
+        Control log offset up to which the instance has applied records.
     offered
-        What its callers asked of the agent's fleet, per second.
+        Demand of the instance's callers on the agent's fleet, per second.
     """
 
     entry: str
@@ -120,22 +120,22 @@
 
 
 class LoadReport(NamedTuple):
-    """An agent's word, with a load as old as its upstream's own report.
+    """Status of an agent; its load is as old as its upstream's last report.
 
     Parameters
     ----------
     runner, incarnation
-        Who reports.
+        Name of the runner and incarnation of its agent.
     ready
-        Whether new work is taken.
+        Whether the agent accepts new attempts.
     leaving
-        Whether the agent was told to stop.
+        Whether the agent is draining before it stops.
     folded
-        Offset that the agent folded up to.
+        Control log offset up to which the agent has applied records.
     offered
-        Sum of what the entries that ask here were asked for.
+        Sum of the demands that instances reported in their heartbeats.
     load
-        The upstream's report.
+        Load that the upstream reported.
     """
 
     runner: str
@@ -148,11 +148,11 @@
 
 
 class Frame(NamedTuple):
-    """One message of an answer's stream.
+    """One message in the stream of an attempt.
 
-    ``number`` counts chunks from 0; in the end frame it is their total. An
-    end frame also carries the agent's load, so that busy runners are known
-    without asking.
+    ``number`` counts chunks from 0; in the end frame it is the number of
+    chunks. An end frame also carries the agent's load, so that the instance
+    knows of busy runners without a call of its own.
     """
 
     kind: FrameKind
@@ -164,13 +164,13 @@
 
 
 class SyncRequest(NamedTuple):
-    """Ask a peer for records after an offset."""
+    """Request the control log records after an offset."""
 
     after: int
 
 
 class SyncReply(NamedTuple):
-    """Records that a peer has, in order, without a hole."""
+    """Control log records with their offsets, in order and without a gap."""
 
     records: tuple[tuple[int, bytes], ...]
 
--- a/packages/sesamepoint/src/sesamepoint/upstream/base.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/base.py
@@ -1,4 +1,4 @@
-"""What an agent asks of its upstream."""
+"""Interface, errors and registry of the upstream adapters."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
 
 
 class UnreachableError(SesamepointError):
-    """The upstream took no connection: the job never reached it."""
+    """No connection to the upstream was made, so the job did not reach it."""
 
     def __init__(self, cause: str) -> None:
-        """Tell why."""
-        super().__init__(f'the upstream takes no connection ({cause})', 'another runner is tried')
+        """Build the message from the cause."""
+        super().__init__(f'connection to the upstream failed ({cause})', 'another runner is tried')
 
 
 class OrderRefusedError(SesamepointError):
     """The upstream refused an order."""
 
     def __init__(self, cause: str) -> None:
-        """Tell why."""
+        """Build the message from the cause."""
         super().__init__(f'the upstream refused the order ({cause})', 'a newer order is awaited')
 
 
 class Upstream(Protocol):
-    """One engine or plain service, seen from the slot beside it."""
+    """Adapter of one engine or plain service."""
 
     def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
-        """Run ``job`` and yield its answer's chunks.
+        """Run ``job`` and yield the chunks of its answer.
 
-        Raises ``UnreachableError`` if it surely did not start, and
-        ``UpstreamError`` if it broke off.
+        Raises ``UnreachableError`` if it certainly did not start, and
+        ``UpstreamError`` if it failed later.
         """
 
     async def cancel(self, attempt: str) -> None:
-        """Stop the job, if it runs."""
+        """Stop the job if it is running."""
 
     async def load(self) -> UpstreamLoad:
-        """Ask for the upstream's own report."""
+        """Request the upstream's load report."""
 
     async def order(self, role: str, fence: int) -> None:
-        """Tell it to take ``role``; raises ``OrderRefusedError``."""
+        """Order the upstream to change to ``role``; raises ``OrderRefusedError``."""
 
 
 UPSTREAM_ADAPTERS: Registry[Any] = Registry('upstream adapter')
--- a/packages/sesamepoint/src/sesamepoint/upstream/engine.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/engine.py
@@ -1,4 +1,4 @@
-"""A model engine with an OpenAI-style HTTP face."""
+"""Adapter of a model engine with an OpenAI-style HTTP API."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @UPSTREAM_ADAPTERS.register('engine')
 class EngineAdapter:
-    """Streams completions, cancels them, orders roles."""
+    """Streams and cancels completions, and orders role changes."""
 
     def __init__(self, http: UpstreamHttp) -> None:
         """Use ``http`` for all calls."""
@@ -40,12 +40,12 @@
         return cls(UpstreamHttp(cfg['url']))
 
     async def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
-        """Run a completion and yield its text as it comes.
+        """Run a completion and yield its text as it arrives.
 
         Raises
         ------
         UpstreamError
-            If the stream broke off before its end mark.
+            If the status is not 200, or the stream ended before ``[DONE]``.
         """
         body = _engine_body(attempt, job)
         async with self._http.stream('POST', '/v1/completions', body) as reply:
@@ -56,23 +56,23 @@
                     return
                 if line.startswith(DATA_PREFIX):
                     yield _text(line[len(DATA_PREFIX) :])
-        # A body that ends without the end mark is a torn answer, though HTTP
-        # calls it complete; passed on, a caller would take half for whole.
+        # A body that ends without [DONE] is truncated, even if it is complete
+        # for HTTP; the caller would take a part for the whole answer.
         raise UpstreamError('the stream ended without its end mark')
 
     async def cancel(self, attempt: str) -> None:
-        """Stop the completion, if it runs."""
+        """Stop the completion if it is running."""
         await self._http.call('POST', '/v1/cancel', msgspec.json.encode({'request_id': attempt}))
 
     async def load(self) -> UpstreamLoad:
-        """Ask for the engine's report."""
+        """Request the engine's load report."""
         reply = await self._http.call('GET', '/load', b'')
         if reply.status != STATUS_OK:
             raise UpstreamError(f'status {reply.status}')
         return UpstreamLoad(**msgspec.json.decode(reply.content))
 
     async def order(self, role: str, fence: int) -> None:
-        """Tell the engine to take ``role`` under ``fence``."""
+        """Order the engine to change to ``role``, with the fencing token ``fence``."""
         body = msgspec.json.encode({'role': role, 'fence': fence})
         reply = await self._http.call('POST', '/orders', body)
         if reply.status != STATUS_OK:
@@ -80,10 +80,10 @@
 
 
 def _engine_body(attempt: str, job: Job) -> bytes:
-    fields = msgspec.json.decode(job.body)
-    own = {'stream': True, 'request_id': attempt, 'priority': int(job.urgent), 'prefix': job.prefix}
+    caller_fields = msgspec.json.decode(job.body)
+    engine_fields = {'stream': True, 'request_id': attempt, 'priority': int(job.urgent), 'prefix': job.prefix}
     sizes = {'prompt_tokens': job.prompt_tokens, 'prefix_tokens': job.prefix_tokens, 'max_tokens': job.output_tokens}
-    return msgspec.json.encode({**fields, **own, **sizes})
+    return msgspec.json.encode({**caller_fields, **engine_fields, **sizes})
 
 
 def _text(payload: bytes) -> bytes:
@@ -92,10 +92,10 @@
 
 
 async def _lines(parts: object) -> AsyncGenerator[bytes, None]:
-    rest = b''
+    unfinished = b''
     async for part in parts:  # type: ignore[attr-defined]
-        *whole, rest = (rest + part).split(b'\n')
-        for line in whole:
+        *lines, unfinished = (unfinished + part).split(b'\n')
+        for line in lines:
             yield line.rstrip(b'\r')
 
 
--- a/packages/sesamepoint/src/sesamepoint/upstream/http.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/http.py
@@ -1,4 +1,4 @@
-"""The HTTP connections of the upstream adapters."""
+"""HTTP client of the upstream adapters."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 
 class UpstreamHttp:
-    """Calls one upstream and sorts failures into sent and not sent."""
+    """Calls one upstream and distinguishes failures before and after the connection was made."""
 
     def __init__(self, url: str) -> None:
-        """Aim at ``url``."""
+        """Set the base URL; the first call connects."""
         self._url = url
         self._pool = httpcore.AsyncConnectionPool(max_connections=MAX_CONNECTIONS)
 
     @asynccontextmanager
     async def stream(self, method: str, path: str, body: bytes) -> AsyncIterator[httpcore.Response]:
-        """Open a reply whose body is read as it comes.
+        """Open a response whose body is read as it arrives.
 
         Raises
         ------
         UnreachableError
-            If the connection was never made, so nothing was sent.
+            If no connection was made, so nothing was sent.
         UpstreamError
-            If it broke after that.
+            If the connection broke later.
         """
         try:
             async with self._pool.stream(
@@ -53,7 +53,7 @@
             raise UpstreamError(repr(exc)) from exc
 
     async def call(self, method: str, path: str, body: bytes) -> httpcore.Response:
-        """Return a whole reply; raises as :meth:`stream` does."""
+        """Return a complete response; raises as :meth:`stream` does."""
         async with self.stream(method, path, body) as reply:
             await reply.aread()
             return reply
--- a/packages/sesamepoint/src/sesamepoint/upstream/plain.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/plain.py
@@ -1,4 +1,4 @@
-"""A plain service: one call in, one reply out."""
+"""Adapter of a plain HTTP service, with one call for each request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReplyHead(NamedTuple):
-    """The first chunk of a plain answer: what stood above the body."""
+    """First chunk of a plain service's answer: status and content type of the response."""
 
     status: int
     content_type: str
@@ -27,7 +27,7 @@
 
 @UPSTREAM_ADAPTERS.register('plain')
 class PlainAdapter:
-    """Passes calls on by path."""
+    """Forwards a request's method, path and body to the service."""
 
     def __init__(self, http: UpstreamHttp) -> None:
         """Use ``http`` for all calls."""
@@ -40,21 +40,21 @@
         return cls(UpstreamHttp(cfg['url']))
 
     async def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
-        """Make the call and yield its head, then its body."""
+        """Make the call and yield the head of the response, then its body."""
         self._running += 1
         try:
             reply = await self._http.call(job.method, job.path, job.body)
         finally:
             self._running -= 1
-        kinds = [text for name, text in reply.headers if name.lower() == CONTENT_TYPE]
-        yield msgspec.json.encode(ReplyHead(reply.status, kinds[0].decode() if kinds else ''))
+        content_types = [text for name, text in reply.headers if name.lower() == CONTENT_TYPE]
+        yield msgspec.json.encode(ReplyHead(reply.status, content_types[0].decode() if content_types else ''))
         yield reply.content
 
     async def cancel(self, attempt: str) -> None:
-        """Do nothing: a plain call cannot be stopped."""
+        """Do nothing: a call to a plain service can't be stopped."""
 
     async def load(self) -> UpstreamLoad:
-        """Tell how many calls are under way; the service has no report."""
+        """Return the number of calls in progress; the service reports no load."""
         return NO_LOAD._replace(running=self._running)
 
     async def order(self, role: str, fence: int) -> None:
