--- a/packages/sesamectl/src/sesamectl/burn.py
+++ b/packages/sesamectl/src/sesamectl/burn.py
@@ -1,4 +1,4 @@
-"""How fast routes use up what their objective lets them miss, by the logs."""
+"""Burn rates of routes against their service-level objective, read from logs."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Window(NamedTuple):
-    """The requests of a route that ended in one span of time.
+    """Requests of a route that ended in one time window.
 
     Parameters
     ----------
     start_s
-        Seconds since the first line.
+        Start of the window, in seconds since the first request ended.
     counts
         Requests by outcome: ``on_time``, ``late``, ``refused``, ``failed``,
         ``left``.
@@ -37,10 +37,10 @@
         return self.counts.total()
 
     def burn(self, objective: float) -> float:
-        """Return the share that missed, over the share that may miss.
+        """Return the share of requests that missed the objective, over the share that may.
 
-        At 1 the objective is just met; at 10 what may be missed in ten
-        windows is used up in one.
+        A burn rate of 1 just meets the objective. At 10, one window uses up
+        what ten windows may miss.
         """
         if not self.total:
             return 0
@@ -48,36 +48,36 @@
 
 
 class RouteBurn(NamedTuple):
-    """One route over the whole time, and window by window."""
+    """Requests of one route, over the whole time and by window."""
 
     route: str
     whole: Window
     windows: tuple[Window, ...]
 
     def worst(self, objective: float) -> Window:
-        """Return the window that burned fastest, the fuller one of equals."""
+        """Return the window with the highest burn rate; of equals, the one with most requests."""
         return max(self.windows, key=lambda window: (window.burn(objective), window.total))
 
 
 def read_burn(logs: Iterable[str], window_s: float) -> list[RouteBurn]:
-    """Return the burn of all routes together, then of each.
+    """Return the requests of all routes together, then of each route.
 
     Parameters
     ----------
     logs
-        Lines of all front processes, in any order.
+        Log lines of all front processes, in any order.
     window_s
         Length of the windows, in seconds.
     """
     ends = [fields for text in logs if (fields := decode_line(text)) and _tells_end(fields)]
     if not ends:
         return []
-    first = min(time_s(fields['asctime']) for fields in ends)
+    first_s = min(time_s(fields['asctime']) for fields in ends)
     counts: dict[str, _ByPlace] = defaultdict(lambda: defaultdict(Counter))
     for fields in ends:
-        place = int((time_s(fields['asctime']) - first) // window_s)
+        index = int((time_s(fields['asctime']) - first_s) // window_s)
         for route in (ALL_ROUTES, fields['route']):
-            counts[route][place][outcome_of(fields)] += 1
+            counts[route][index][outcome_of(fields)] += 1
     return [_route_burn(name, counts[name], window_s) for name in sorted(counts, key=_all_first)]
 
 
@@ -90,7 +90,7 @@
 
 
 def _route_burn(route: str, by_place: _ByPlace, window_s: float) -> RouteBurn:
-    windows = tuple(Window(place * window_s, by_place[place]) for place in sorted(by_place))
+    windows = tuple(Window(index * window_s, by_place[index]) for index in sorted(by_place))
     whole = Window(0, sum((window.counts for window in windows), Counter()))
     return RouteBurn(route, whole, windows)
 
--- a/packages/sesamectl/src/sesamectl/burn_page.py
+++ b/packages/sesamectl/src/sesamectl/burn_page.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn, as text and as one HTML page."""
+"""Report on the burn rates of routes, as text and as one HTML page."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 OUTCOMES = tuple(COLOURS)
 WIDTH = 900
 HEIGHT = 120
-# Above the bars, for the figures on them; and the share of a window's place
-# that its bar takes.
+# Space above the bars for their labels.
 MARGIN = 16
+# Share of a window's width that its bar takes.
 BAR_SHARE = 0.9
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title><style>
@@ -35,7 +35,7 @@
 
 
 class _Places(NamedTuple):
-    """Where the bars of windows go: a window's seconds, and its width."""
+    """Positions of the bars: length of a window in seconds, and its width in pixels."""
 
     window_s: float
     width: float
@@ -45,7 +45,7 @@
 
 
 def burn_text(burns: Sequence[RouteBurn], objective: float) -> str:
-    """Return a table with a line a route."""
+    """Return a table with one line per route."""
     heads = ''.join(f'{outcome:>9}' for outcome in OUTCOMES)
     lines = [f'{"route":24}{heads}{"burn":>8}   worst window']
     for burn in burns:
@@ -57,7 +57,7 @@
 
 
 def burn_html(burns: Sequence[RouteBurn], objective: float, window_s: float) -> str:
-    """Return one page with the table and a chart a route, all over the same time."""
+    """Return one page with the table and one chart per route, all on the same time axis."""
     last_s = max(burn.windows[-1].start_s for burn in burns)
     places = _Places(window_s, WIDTH / (last_s / window_s + 1))
     return PAGE.format(
@@ -77,8 +77,8 @@
 def _row(burn: RouteBurn, objective: float) -> str:
     counts = ''.join(f'<td>{burn.whole.counts[outcome]}</td>' for outcome in OUTCOMES)
     worst = burn.worst(objective)
-    figures = f'<td>{burn.whole.burn(objective):.1f}</td><td>{worst.burn(objective):.1f} from {worst.start_s:g} s</td>'
-    return f'<tr><td>{escape(burn.route)}</td>{counts}{figures}</tr>'
+    cells = f'<td>{burn.whole.burn(objective):.1f}</td><td>{worst.burn(objective):.1f} from {worst.start_s:g} s</td>'
+    return f'<tr><td>{escape(burn.route)}</td>{counts}{cells}</tr>'
 
 
 def _chart(burn: RouteBurn, objective: float, places: _Places) -> str:
@@ -94,13 +94,13 @@
 
 def _bars(window: Window, places: _Places, scale: float) -> str:
     top = float(HEIGHT)
-    parts = []
+    rects = []
     for outcome in OUTCOMES:
         height = window.counts[outcome] * scale
         top -= height
-        across = f'x="{places.left(window):.1f}" width="{places.width * BAR_SHARE:.1f}"'
-        parts.append(f'<rect {across} y="{top:.1f}" height="{height:.1f}" fill="{COLOURS[outcome]}"/>')
-    return ''.join(parts)
+        position = f'x="{places.left(window):.1f}" width="{places.width * BAR_SHARE:.1f}"'
+        rects.append(f'<rect {position} y="{top:.1f}" height="{height:.1f}" fill="{COLOURS[outcome]}"/>')
+    return ''.join(rects)
 
 
 def _figure(window: Window, objective: float, left: float) -> str:
--- a/packages/sesamectl/src/sesamectl/cli.py
+++ b/packages/sesamectl/src/sesamectl/cli.py
@@ -1,4 +1,4 @@
-"""Operate sesamepoint: publish configuration, switch presets, look on.
+"""Operate sesamepoint: publish configuration, switch presets, inspect the system.
 
 Usage:
   sesamectl check FILE
@@ -19,26 +19,26 @@
 
 Options:
   --log URL            The platform's log, as http://IP:PORT.
-  --deployment NAME    The deployment that is meant.
-  --based-on VERSION   The version that the change was made from; by default
+  --deployment NAME    Name of the deployment.
+  --based-on VERSION   Version that the change was made from; by default
                        the one in force when the command starts.
-  --operator NAME      Who publishes [default: operator].
-  --json               One JSON object instead of text.
-  --scenario NAME      A shipped scenario, or a file.
-  --policy NAME        A registered policy [default: default].
-  --compare NAMES      Policies, with commas, on the same arrivals.
-  --seed N             Seed of the arrivals and of all choices [default: 1].
-  --entry ADDRESS      An entry's metrics address, as IP:PORT.
-  --caller IP          A caller's address, for requests whose ids nobody has.
+  --operator NAME      Name to record with the change [default: operator].
+  --json               Print one JSON object instead of text.
+  --scenario NAME      Name of a shipped scenario, or a file.
+  --policy NAME        Name of a registered policy [default: default].
+  --compare NAMES      Policies to run on the same arrivals, separated by commas.
+  --seed N             Seed of the arrivals and of all random choices [default: 1].
+  --entry ADDRESS      Metrics address of an instance, as IP:PORT.
+  --caller IP          Address of a caller, for requests whose id is unknown.
   --account NAME       Only requests of this client account.
   --route ROUTE        Only requests of this route.
-  --at TIME            About when the request ended, as HH:MM:SS of the logs.
-  --within SECONDS     How far from that it may lie [default: 60].
+  --at TIME            Approximate time at which the request ended, as HH:MM:SS of the logs.
+  --within SECONDS     Largest distance from that time [default: 60].
   --logs FILE          Logs of all front processes; by default standard input.
-  --objective PERCENT  Share of requests that has to be on time [default: 95].
-  --window SECONDS     Length of the windows that are looked at [default: 10].
-  --late-share SHARE   What a late answer keeps of its worth [default: 0.3].
-  --html FILE          Write a page with charts there too.
+  --objective PERCENT  Share of requests that must be on time [default: 95].
+  --window SECONDS     Length of the time windows [default: 10].
+  --late-share SHARE   Share of its worth that a late answer keeps [default: 0.3].
+  --html FILE          Also write a page with charts to this file.
   --list               List policies and shipped scenarios.
 
 Exit status: 0 for success, 1 for a refusal by the system, 2 for bad usage
--- a/packages/sesamectl/src/sesamectl/commands/base.py
+++ b/packages/sesamectl/src/sesamectl/commands/base.py
@@ -1,4 +1,4 @@
-"""What the commands share."""
+"""Registry of the commands, and access to a deployment's control stream."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class LogSilentError(SesamepointError):
-    """The log did not answer for as long as a command waits."""
+    """The log did not answer within the time limit of a command."""
 
     def __init__(self) -> None:
-        """Tell what is known and what is not."""
+        """Build the error."""
         super().__init__(
             f'the log did not answer within {WAIT_S:.0f} s; whether the change was written is not known',
             'run "sesamectl show" before trying again',
@@ -36,12 +36,12 @@
 
 
 def with_follower(arguments: Arguments, deployment: str, use: Callable[[Follower], Awaitable[ResultT]]) -> ResultT:
-    """Follow a deployment's control stream while ``use`` runs.
+    """Follow a deployment's control stream while a callback runs, and return what it returns.
 
     Raises
     ------
     LogSilentError
-        If the log is away for too long.
+        If the log does not answer within the time limit.
     """
     with single_error():
         return trio.run(_follow, arguments['--log'], deployment, use)
@@ -55,9 +55,9 @@
         nursery.start_soon(follower.follow)
         with trio.move_on_after(WAIT_S):
             await follower.recovered.wait()
-            used = await use(follower)
+            returned = await use(follower)
             nursery.cancel_scope.cancel()
-            return used
+            return returned
         nursery.cancel_scope.cancel()
     raise LogSilentError
 
--- a/packages/sesamectl/src/sesamectl/commands/burn.py
+++ b/packages/sesamectl/src/sesamectl/commands/burn.py
@@ -1,4 +1,4 @@
-"""``sesamectl burn``: which routes miss their objective, when, and how fast."""
+"""``sesamectl burn``: burn rates of routes against their objective, over time."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @COMMANDS.register('burn')
 def burn(arguments: Arguments) -> str:
-    """Read the logs of all front processes; print a table or write a page."""
+    """Return a table of the burn rates in the logs; also write a page if asked to."""
     objective = figure(arguments, '--objective', PERCENT) / PERCENT
     window_s = figure(arguments, '--window', math.inf)
     with opened_logs(arguments['--logs'], arguments['--account']) as logs:
         burns = read_burn(logs, window_s)
     if not burns:
-        return 'no line of the logs tells the end of a request'
+        return 'no log line records the end of a request'
     if arguments['--html']:
         Path(arguments['--html']).write_text(burn_html(burns, objective, window_s), encoding='utf-8')
     return burn_text(burns, objective)
--- a/packages/sesamectl/src/sesamectl/commands/check.py
+++ b/packages/sesamectl/src/sesamectl/commands/check.py
@@ -1,4 +1,4 @@
-"""``sesamectl check``: is this file a configuration?"""
+"""``sesamectl check``: validation of a configuration file."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     Raises
     ------
     SettingsError
-        On the first thing that is wrong, with its path in the document.
+        On the first problem, with its path in the document.
     """
     document = read_document(path)
     encoded = msgspec.json.encode(document)
     problems = check_configuration(encoded)
     if problems:
-        found, _, remedy = problems[0].rpartition('; ')
-        raise SettingsError(f'{path}: {found}', remedy)
+        problem, _, remedy = problems[0].rpartition('; ')
+        raise SettingsError(f'{path}: {problem}', remedy)
     return document['deployment'], encoded
 
 
 @COMMANDS.register('check')
 def check(arguments: Arguments) -> str:
-    """Check a file of configuration."""
+    """Check a configuration file."""
     deployment, _ = load_configuration(Path(arguments['FILE']))
-    return f'{arguments["FILE"]}: a good configuration of {deployment}'
+    return f'{arguments["FILE"]}: a valid configuration of {deployment}'
 
 
 __all__ = ('check', 'load_configuration')
--- a/packages/sesamectl/src/sesamectl/commands/demo.py
+++ b/packages/sesamectl/src/sesamectl/commands/demo.py
@@ -1,4 +1,4 @@
-"""``sesamectl demo``: the main job of both users, with everything in it."""
+"""``sesamectl demo``: the main workload of both users, on stand-ins."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class PromiseBrokenError(SesamepointError):
-    """The demo saw an answer cut off, wrong, or made twice."""
+    """The demo saw an answer that was cut off, wrong, or produced twice."""
 
 
 @COMMANDS.register('demo')
 def demo(arguments: Arguments) -> str:
-    """Run the demo; it ends by itself."""
+    """Run the demo until it ends, and return its tables."""
     with single_error():
-        platform_end = trio.run(run_platform_demo)
-        end = trio.run(run_demo)
-    text = '\n'.join(('on the platform:', *platform_end.lines, 'entries and agents:', *end.lines))
-    if not end.kept or not platform_end.kept:
-        raise PromiseBrokenError(text, 'a promise was broken: please report this table')
+        platform_report = trio.run(run_platform_demo)
+        agents_report = trio.run(run_demo)
+    text = '\n'.join(('on the platform:', *platform_report.lines, 'entries and agents:', *agents_report.lines))
+    if not agents_report.kept or not platform_report.kept:
+        raise PromiseBrokenError(text, 'an answer was cut off, wrong or produced twice: please report this table')
     return f'{text}\nall promises kept'
 
 
--- a/packages/sesamectl/src/sesamectl/commands/experiment.py
+++ b/packages/sesamectl/src/sesamectl/commands/experiment.py
@@ -1,4 +1,4 @@
-"""``sesamectl experiment``: policies against scenarios, in virtual time."""
+"""``sesamectl experiment``: trials of policies on scenarios, in virtual time."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
     names = (arguments['--compare'] or arguments['--policy']).split(',')
     trials = {name: _run(arguments, name) for name in names}
     if arguments['--json']:
-        columns = {name: found[0]._asdict() for name, found in trials.items()}
+        columns = {name: trial[0]._asdict() for name, trial in trials.items()}
         return msgspec.json.encode(columns if arguments['--compare'] else columns[names[0]]).decode()
-    return '\n'.join(_table({name: found[0] for name, found in trials.items()}))
+    return '\n'.join(_table({name: trial[0] for name, trial in trials.items()}))
 
 
 def trial_of(deployment: str, scenario: str, policy: str, seed: int) -> Trial:
-    """Return the trial that the command's words mean."""
+    """Return the trial of a scenario on a deployment, under a policy and a seed."""
     path = EXAMPLES / f'{deployment}.json' if deployment in USERS else Path(deployment)
     _, document = load_configuration(path)
     POLICIES.get(policy)
-    loaded = load_scenario(find_scenario(deployment, scenario))
-    return Trial(parse_configuration(document), loaded, policy, seed)
+    loaded_scenario = load_scenario(find_scenario(deployment, scenario))
+    return Trial(parse_configuration(document), loaded_scenario, policy, seed)
 
 
 def _run(arguments: Arguments, policy: str) -> tuple[Figures, Finished]:
@@ -62,7 +62,7 @@
 def _table(columns: dict[str, Figures]) -> Iterator[str]:
     yield ''.join([f'{"":{WIDTH}}', *(f'{name:>{WIDTH}}' for name in columns)])
     for field in Figures._fields:
-        cells = (f'{getattr(found, field):>{WIDTH}}' for found in columns.values())
+        cells = (f'{getattr(figures_of_policy, field):>{WIDTH}}' for figures_of_policy in columns.values())
         yield ''.join([f'{field:{WIDTH}}', *cells])
 
 
--- a/packages/sesamectl/src/sesamectl/commands/explain.py
+++ b/packages/sesamectl/src/sesamectl/commands/explain.py
@@ -1,4 +1,4 @@
-"""``sesamectl explain``: why the system did what it did, or did not."""
+"""``sesamectl explain``: reasons of decisions and of requests' outcomes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @COMMANDS.register('explain')
 def explain(arguments: Arguments) -> str:
-    """Show the decisions that one entry remembers, or one request's way."""
+    """Show the recent decisions of one instance, or explain requests from logs."""
     if arguments['REQUEST-ID']:
         return _walk(arguments)
     if arguments['--caller'] or arguments['--account']:
@@ -70,12 +70,12 @@
 
 
 def _lines(decision: Decision) -> Iterator[str]:
-    under = f'version {decision.version}, fencing number {decision.fence}'
-    yield f'{decision.at:.1f} s {decision.kind} {decision.subject} ({under}): {decision.choice}'
+    authority = f'version {decision.version}, fencing number {decision.fence}'
+    yield f'{decision.at:.1f} s {decision.kind} {decision.subject} ({authority}): {decision.choice}'
     if decision.seen:
         yield '    seen: {0}'.format(', '.join(f'{name} {figure:.3g}' for name, figure in decision.seen.items()))
     for other, score in decision.alternatives[:SHOWN_ALTERNATIVES]:
-        yield f'    weighed: {other}, score {score:.1f}'
+        yield f'    alternative: {other}, score {score:.1f}'
 
 
 __all__ = ('explain',)
--- a/packages/sesamectl/src/sesamectl/commands/figures.py
+++ b/packages/sesamectl/src/sesamectl/commands/figures.py
@@ -1,4 +1,4 @@
-"""Figures on the command line."""
+"""Numbers among the options of the command line."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def figure(arguments: Arguments, name: str, below: float) -> float:
-    """Return the figure of an option, which must lie between 0 and ``below``.
+    """Return the number of an option, which must lie between 0 and an upper bound.
 
     Raises
     ------
     SettingsError
-        If it is none, or lies elsewhere.
+        If it is no number, or out of bounds.
     """
     try:
-        found = float(arguments[name])
+        number = float(arguments[name])
     except ValueError as exc:
         raise SettingsError(f'{name}: {exc}', 'give a number') from exc
-    if not 0 < found < below:
-        raise SettingsError(f'{name} is {found:g}', f'give a number above 0 and below {below:g}')
-    return found
+    if not 0 < number < below:
+        raise SettingsError(f'{name} is {number:g}', f'give a number above 0 and below {below:g}')
+    return number
 
 
 __all__ = ('figure',)
--- a/packages/sesamectl/src/sesamectl/commands/loss.py
+++ b/packages/sesamectl/src/sesamectl/commands/loss.py
@@ -1,4 +1,4 @@
-"""``sesamectl loss``: where callers' time and the worth of requests went."""
+"""``sesamectl loss``: worth and callers' time lost by requests not answered on time."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @COMMANDS.register('loss')
 def loss(arguments: Arguments) -> str:
-    """Read the logs of all front processes; print tables or write a page too."""
+    """Return tables of the losses in the logs; also write a page if asked to."""
     late_share = figure(arguments, '--late-share', 1)
     window_s = figure(arguments, '--window', math.inf)
     with opened_logs(arguments['--logs'], arguments['--account']) as logs:
-        read = read_ended(logs)
-    if not read.ended:
-        return '\n'.join(['no line of the logs tells the end of a request', *read.notes()])
-    found = find_loss(read.ended, late_share)
-    errors = wait_errors(read.ended)
-    text = loss_text(found, errors, read, window_s)
+        requests = read_ended(logs)
+    if not requests.ended:
+        return '\n'.join(['no log line records the end of a request', *requests.notes()])
+    losses = find_loss(requests.ended, late_share)
+    errors = wait_errors(requests.ended)
+    text = loss_text(losses, errors, requests, window_s)
     if arguments['--html']:
-        Path(arguments['--html']).write_text(loss_html(found, text, window_s), encoding='utf-8')
+        Path(arguments['--html']).write_text(loss_html(losses, text, window_s), encoding='utf-8')
     return text
 
 
--- a/packages/sesamectl/src/sesamectl/commands/publish.py
+++ b/packages/sesamectl/src/sesamectl/commands/publish.py
@@ -1,4 +1,4 @@
-"""``sesamectl publish`` and ``preset``: the two ways to change anything."""
+"""``sesamectl publish`` and ``preset``: changes of the configuration and of the preset."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ChangeRefusedError(SesamepointError):
-    """The fold rejected a change."""
+    """The control stream rejected a change."""
 
 
 @COMMANDS.register('publish')
@@ -35,7 +35,7 @@
 
 @COMMANDS.register('preset')
 def preset(arguments: Arguments) -> str:
-    """Put another preset in force."""
+    """Switch to another preset."""
 
     def change(based_on: int) -> SwitchPreset:  # noqa: WPS430
         return SwitchPreset(based_on, arguments['--operator'], arguments['NAME'])
@@ -45,15 +45,15 @@
 
 def _submit(arguments: Arguments, deployment: str, change: object) -> str:
     async def submit(follower: Follower) -> str:  # noqa: WPS430
-        given = arguments['--based-on']
-        based_on = follower.state.version if given is None else int(given)
+        option = arguments['--based-on']
+        based_on = follower.state.version if option is None else int(option)
         body: Body = change(based_on)  # type: ignore[operator]
-        verdict = await follower.submit(body)
-        if isinstance(verdict, Accepted):
-            return f'{deployment}: version {verdict.version} is in force from offset {verdict.offset}'
+        outcome = await follower.submit(body)
+        if isinstance(outcome, Accepted):
+            return f'{deployment}: version {outcome.version} is in force from offset {outcome.offset}'
         raise ChangeRefusedError(
-            getattr(verdict, 'reason', 'the record was a repeat'),
-            getattr(verdict, 'remedy', 'run "sesamectl show"'),
+            getattr(outcome, 'reason', 'the record was a repeat'),
+            getattr(outcome, 'remedy', 'run "sesamectl show"'),
         )
 
     return with_follower(arguments, deployment, submit)
--- a/packages/sesamectl/src/sesamectl/commands/show.py
+++ b/packages/sesamectl/src/sesamectl/commands/show.py
@@ -1,4 +1,4 @@
-"""``sesamectl show``: what is agreed at this moment."""
+"""``sesamectl show``: the current state of a deployment."""
 
 from __future__ import annotations
 
--- a/packages/sesamectl/src/sesamectl/demo/deployment.py
+++ b/packages/sesamectl/src/sesamectl/demo/deployment.py
@@ -1,4 +1,4 @@
-"""One deployment of the demo: stand-ins, agents and entries on loopback."""
+"""One deployment of the demo: stand-in engines, agents and instances on loopback."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class DemoDeployment:
-    """Everything of one user, started part by part."""
+    """All processes of one user, each started separately."""
 
     def __init__(self, cfg: Configuration, entry_port: int, instances: MemoryInstances) -> None:
-        """Prepare the stand-ins."""
+        """Prepare the deployment without starting it."""
         self.cfg = cfg
         self.engines: dict[str, Engine] = {}
         self.entries = [f'127.0.0.1:{entry_port + number}' for number in range(ENTRIES)]
@@ -37,7 +37,7 @@
         self._agents: dict[str, AgentProcess] = {}
 
     async def run(self) -> None:
-        """Run all parts until cancelled."""
+        """Run all processes until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for runner in self.cfg['runners']:
@@ -50,14 +50,14 @@
             await trio.sleep_forever()
 
     def start_agent(self, runner: str) -> None:
-        """Start an agent in a runner's slot."""
+        """Start the agent of a runner."""
         self._scopes[runner] = trio.CancelScope()
         self._agents[runner] = AgentProcess.from_config(self._agent_settings(runner))
         self._instances.put(self.cfg['runners'][runner]['agent'], leaving=False)
         self._nursery.start_soon(self._run_agent, runner, self._agents[runner], self._scopes[runner])
 
     async def replace_agent(self, runner: str) -> None:
-        """Stop an agent gracefully, as the platform does, and start another."""
+        """Drain and stop the agent of a runner, as the platform does, and start a new one."""
         self._instances.put(self.cfg['runners'][runner]['agent'], leaving=True)
         await self._agents[runner].wind_down()
         self._scopes[runner].cancel()
--- a/packages/sesamectl/src/sesamectl/demo/load.py
+++ b/packages/sesamectl/src/sesamectl/demo/load.py
@@ -1,4 +1,4 @@
-"""The demo's callers, over HTTP."""
+"""Load of the demo: callers over HTTP."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class CallEnd(NamedTuple):
-    """How a call ended: its outcome's tag, and whether the text was right."""
+    """Outcome of a call: its tag, and whether the text was correct."""
 
     main: bool
     tag: str
@@ -46,10 +46,10 @@
 
 
 class Load:
-    """Sends a mix that shifts from short prompts to long ones."""
+    """Sends a mix of long and short prompts."""
 
     def __init__(self, deployment: DemoDeployment, model: str, seed: int) -> None:
-        """Send to the entries of ``deployment``."""
+        """Prepare to send to the instances of ``deployment``."""
         self.ended: list[CallEnd] = []
         self._deployment = deployment
         self._model = model
@@ -58,7 +58,7 @@
         self._sent = 0
 
     async def run(self, seconds: float, long_share: float) -> None:
-        """Send for some seconds; wait for the answers."""
+        """Send for some seconds, with a share of long prompts; wait for the answers."""
         stop_at = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < stop_at:
@@ -82,13 +82,13 @@
         self._note(call, reply, trio.current_time() - started)
 
     def _note(self, call: Call, reply: httpcore.Response, took_s: float) -> None:
-        found: Any = msgspec.json.decode(reply.content)
+        answer: Any = msgspec.json.decode(reply.content)
         if reply.status != STATUS_OK:
-            error = found['error']
+            error = answer['error']
             tag = 'late' if error['code'] == DEADLINE_PASSED else error['outcome']
             self.ended.append(CallEnd(call.main, tag, right=True, took_s=took_s))
             return
-        right = found['choices'][0]['text'] == answer_text(seed_of(call.prompt.encode()), 0, call.tokens)
+        right = answer['choices'][0]['text'] == answer_text(seed_of(call.prompt.encode()), 0, call.tokens)
         tag = 'answered' if took_s * MS_PER_S <= TIMEOUT_MS else 'late'
         self.ended.append(CallEnd(call.main, tag, right, took_s))
 
--- a/packages/sesamectl/src/sesamectl/demo/platform.py
+++ b/packages/sesamectl/src/sesamectl/demo/platform.py
@@ -1,4 +1,4 @@
-"""The demo on the users' platform: two front processes, a stop under load."""
+"""Demo on the users' platform: two front processes, one of them stopped under load."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 LOAD_S = 3.0
 PAUSE_S = 0.05
 STOP_LIMIT_S = 30.0
-# Tokens of a shared part, of a long prompt's own part, and of a short one's:
-# about the mean of the smaller of today's deployments.
+# Tokens of the shared prefix block, and of the own block of a long and of a short
+# prompt: about the mean of the smaller of today's deployments.
 SHARED = ('survey', 13_000)
 LONG_TOKENS = 3700
 SHORT_TOKENS = 290
@@ -37,27 +37,27 @@
 
 
 class PlatformEnd(NamedTuple):
-    """What the demo shows, and whether every promise was kept."""
+    """Lines of the report, and whether all answers were whole and correct."""
 
     lines: tuple[str, ...]
     kept: bool
 
 
 async def run_platform_demo() -> PlatformEnd:
-    """Serve all kinds of request at two fronts, one of which is stopped meanwhile."""
+    """Serve all kinds of request at two front processes, and stop one of them meanwhile."""
     found: defaultdict[str, list[Seen]] = defaultdict(list)
     wrong: list[str] = []
-    with tempfile.TemporaryDirectory() as folder:
-        async with running_processes(_configuration(), Path(folder), fronts=2) as bed:
+    with tempfile.TemporaryDirectory() as directory:
+        async with running_processes(_configuration(), Path(directory), fronts=2) as bed:
             await _play(bed, found, wrong)
     return PlatformEnd((*_table(found), *wrong), not wrong)
 
 
 def _table(found: dict[str, list[Seen]]) -> list[str]:
-    rows = [f'{kind:10} asked {len(seen):4}  p50 {_middle_ms(seen):4.0f} ms' for kind, seen in sorted(found.items())]
+    rows = [f'{kind:10} sent {len(seen):4}   p50 {_middle_ms(seen):4.0f} ms' for kind, seen in sorted(found.items())]
     return [
         *rows,
-        'one of two front processes was stopped in the middle; what was cut off or wrong follows, if anything',
+        'one of two front processes was stopped under load; answers cut off or wrong follow, if any',
     ]
 
 
@@ -77,7 +77,7 @@
     while trio.current_time() - started < LOAD_S:
         for kind in ('verdict', 'tag', 'card', 'thumb'):
             count += 1
-            # Callers of the first front go to the second when it is stopped.
+            # Callers of the first front process switch to the second when it is stopped.
             front = bed.fronts[0 if number % 2 and trio.current_time() - started < LOAD_S / 2 else 1]
             asked = _asked(kind, f'{kind}-{number}-{count}')
             seen = await caller_of(front).ask(asked)
--- a/packages/sesamectl/src/sesamectl/demo/run.py
+++ b/packages/sesamectl/src/sesamectl/demo/run.py
@@ -1,4 +1,4 @@
-"""The course of the demo, and its table."""
+"""Demo with instances and agents: both deployments under a shifting load, and its table."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
 
 
 class DemoEnd(NamedTuple):
-    """The table's lines, and whether all promises were kept."""
+    """Lines of the table, and whether no answer was cut off, wrong or produced twice."""
 
     lines: tuple[str, ...]
     kept: bool
 
 
 async def run_demo() -> DemoEnd:
-    """Run both deployments side by side and end."""
+    """Run both deployments side by side until both have ended."""
     log = MemoryLog()
     instances = MemoryInstances()
     lines: list[str] = []
@@ -94,7 +94,7 @@
 
 
 async def _shift(user: User, deployment: DemoDeployment, load: Load, operator: Follower) -> None:
-    """Let the mix shift; switch a preset and replace a runner's agent."""
+    """Send mostly short, then mostly long prompts; switch the preset and replace an agent."""
     await load.run(FIRST_S, FEW_LONG)
     await operator.submit(SwitchPreset(operator.state.version, 'demo', 'peak'))
     async with trio.open_nursery() as shift:
@@ -105,7 +105,7 @@
 
 
 def _quick(name: str) -> Configuration:
-    """Return a user's configuration with horizons that fit into the demo."""
+    """Return a user's configuration with horizons short enough for the demo."""
     _, document = load_configuration(EXAMPLES / f'{name}.json')
     parsed: dict[str, Any] = msgspec.json.decode(document)
     for preset in parsed['presets'].values():
--- a/packages/sesamectl/src/sesamectl/ended.py
+++ b/packages/sesamectl/src/sesamectl/ended.py
@@ -1,4 +1,4 @@
-"""The lines that tell the end of a request, decoded and checked."""
+"""Log lines on the ends of requests, decoded and checked."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
     from collections.abc import Iterable
 
 FIRST_REDIRECT = 300
-# As the log output writes times.
+# Format of times in the log output.
 TIME_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
 SECONDS_A_MINUTE = 60
 SECONDS_AN_HOUR = 3600
 
 
 class Ended(msgspec.Struct, frozen=True, kw_only=True):
-    """What the last line of a request tells; times in milliseconds.
+    """Fields of the last log line of a request; times in milliseconds.
 
     Parameters
     ----------
     cause
-        Why the answer is no whole one; empty if it is.
+        Why the answer is not whole; empty if it is.
     held_ms
-        How long it waited at the entry for an engine.
+        Time that it waited in the queue of the instance for an engine.
     work_ms
-        Reading time that was expected at the engine.
+        Prefill time that was expected at the engine.
     wait_expected_ms
-        How long it was to wait at the entry, as estimated when it came; None
-        if it did not wait.
+        Time in the queue of the instance as estimated on arrival; None if it
+        did not wait.
     answer_tokens
-        The longest answer that the caller takes.
+        Length of the longest answer that the caller accepts.
     pause_limit_ms
-        The longest pause of an answer on time; 0 for plain routes.
+        Longest pause that an answer on time may have; 0 for plain routes.
     """
 
     request: str
@@ -70,12 +70,12 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether its caller got the whole of a good answer."""
+        """Tell whether its caller got a whole answer with a status of success."""
         return 0 < self.status < FIRST_REDIRECT and not self.unfinished
 
     @property
     def ended_s(self) -> float:
-        """Return when it ended, in seconds of the process's time of day."""
+        """Return when it ended by the clock of its process, in seconds."""
         return time_s(self.asctime)
 
     @property
@@ -85,14 +85,14 @@
 
 
 class EndedRead(msgspec.Struct):
-    """All ends that logs tell, and what was left out of them.
+    """Ends of all requests in some logs, and counts of what is missing there.
 
     Parameters
     ----------
     left_out
         Lines that were not used, by reason.
     unended
-        Requests that lines name, but none that tells their end.
+        Requests that are named in the logs without a line on their end.
     """
 
     ended: list[Ended]
@@ -100,37 +100,37 @@
     unended: int = 0
 
     def notes(self) -> list[str]:
-        """Return lines on what was left out, and why."""
+        """Return notes on what is missing, and why."""
         found = [f'note: {count} left out: {reason}' for reason, count in sorted(self.left_out.items())]
         if self.unended:
-            found.append(f'note: {self.unended} requests have no line that tells their end: their process ended first')
-        found.append('note: callers that found no entry listening are in no log')
+            found.append(f'note: {self.unended} requests have no line on their end: their process ended first')
+        found.append('note: callers that found no listening instance are in no log')
         return found
 
 
 def read_ended(logs: Iterable[str]) -> EndedRead:
-    """Return the ends of all requests in ``logs``, in any order, each once."""
-    found = EndedRead([], Counter())
-    named: set[str] = set()
+    """Return the ends of all requests in ``logs``, each once; lines may come in any order."""
+    ends = EndedRead([], Counter())
+    request_ids: set[str] = set()
     seen: set[tuple[str, str]] = set()
     for text in logs:
         fields = decode_line(text)
         if fields is None:
-            found.left_out['no log line, or one that was cut off'] += bool(text.strip())
+            ends.left_out['no log line, or one that was cut off'] += bool(text.strip())
             continue
-        found.left_out['lines that their process left out (bounded output)'] += _count(fields.get('suppressed'))
+        ends.left_out['lines that their process left out (bounded output)'] += _count(fields.get('suppressed'))
         request = fields.get('request')
         if isinstance(request, str):
-            named.add(request)
+            request_ids.add(request)
         if fields['event'] == events.ANSWER_ENDED.number:
-            _take(fields, found, seen)
-    found.unended = len(named - {request for request, _ in seen})
-    found.left_out = +found.left_out
-    return found
+            _take(fields, ends, seen)
+    ends.unended = len(request_ids - {request for request, _ in seen})
+    ends.left_out = +ends.left_out
+    return ends
 
 
 def outcome_of(fields: dict[str, Any]) -> str:
-    """Return what became of a request, by the line of its end."""
+    """Return the outcome of a request, from the line on its end."""
     if fields.get('on_time'):
         return 'on_time'
     if fields.get('refused'):
@@ -142,13 +142,13 @@
 
 
 def second_of_day(written: str) -> float:
-    """Return the seconds since midnight of a time as the log output writes it, or its part after the date."""
+    """Return the seconds since midnight of a time in the format of the logs, with or without its date."""
     hours, minutes, seconds = written.rpartition(' ')[2].replace(',', '.').split(':')
     return int(hours) * SECONDS_AN_HOUR + int(minutes) * SECONDS_A_MINUTE + float(seconds)
 
 
 def time_s(written: str) -> float:
-    """Return the seconds of a time as the log output writes it."""
+    """Return a time in the format of the logs as a timestamp, in seconds."""
     return datetime.strptime(written, TIME_FORMAT).timestamp()
 
 
@@ -156,15 +156,15 @@
     try:
         ended = _checked(fields)
     except ValueError:
-        # Errors of msgspec are among these.
+        # Errors of msgspec are subclasses of ValueError.
         found.left_out['ends of requests as another version writes them'] += 1
         return
-    # One caller's attempt has one id; a log that was joined twice has it twice.
-    name = (ended.request, ended.process)
-    if name in seen:
+    # Each attempt of a caller has its own id. Logs that hold a file twice repeat it.
+    request_key = (ended.request, ended.process)
+    if request_key in seen:
         found.left_out['ends of requests that were told twice'] += 1
         return
-    seen.add(name)
+    seen.add(request_key)
     found.ended.append(ended)
 
 
--- a/packages/sesamectl/src/sesamectl/experiment/arrivals.py
+++ b/packages/sesamectl/src/sesamectl/experiment/arrivals.py
@@ -1,4 +1,4 @@
-"""The arrivals of a scenario: the same for every policy and every run of a seed."""
+"""Arrivals of a scenario, which depend on its seed only, not on the policy."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request and when it comes, in seconds from the start."""
+    """A request and the time of its arrival, in seconds from the start."""
 
     at: float
     name: str
@@ -37,7 +37,7 @@
 
 
 def rate_at(kind: ArrivalClass, at: float) -> float:
-    """Return the requests a second of a class at a time."""
+    """Return the arrival rate of a class at a time, in requests per second."""
     period_s = kind.get('period_s')
     if period_s is not None:
         at %= period_s
@@ -49,7 +49,7 @@
 
 
 def _of_class(name: str, kind: ArrivalClass, duration_s: float, rng: Random) -> Iterator[Arrival]:
-    """Thin a steady stream at the highest rate down to the rate wanted."""
+    """Draw a Poisson process at the highest rate, and thin it to the rate at each time."""
     highest = max(rate for _, rate in kind['rate'])
     at = rng.expovariate(highest)
     number = 0
--- a/packages/sesamectl/src/sesamectl/experiment/faults.py
+++ b/packages/sesamectl/src/sesamectl/experiment/faults.py
@@ -1,4 +1,4 @@
-"""Registered faults, which a scenario brings about and takes away again."""
+"""Registered faults, which a scenario injects and clears."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Fault(Protocol):
-    """One kind of fault; ``on`` tells whether it begins or ends."""
+    """One kind of fault; ``on`` is whether to inject or to clear it."""
 
     def __call__(self, bed: Bed, target: str, *, on: bool) -> None:
-        """Bring the fault about, or take it away."""
+        """Inject or clear the fault."""
 
 
 FAULTS: Registry[Fault] = Registry('fault')
@@ -24,7 +24,7 @@
 
 @FAULTS.register('engine-lost')
 def engine_lost(bed: Bed, target: str, *, on: bool) -> None:
-    """Crash a runner's engine, and keep it down."""
+    """Crash a runner's engine and keep it down."""
     bed.upstreams[target].reachable = not on
     if on:
         bed.engines[target].crash()
@@ -32,13 +32,13 @@
 
 @FAULTS.register('runner-drained')
 def runner_drained(bed: Bed, target: str, *, on: bool) -> None:
-    """Let the platform list a runner's instance as leaving."""
+    """Let the platform list the process of a runner as draining."""
     bed.instances.put(bed.configuration['runners'][target]['agent'], leaving=on)
 
 
 @FAULTS.register('reports-late')
 def reports_late(bed: Bed, target: str, *, on: bool) -> None:
-    """Let all engines report their load seconds late."""
+    """Delay the load reports of all engines by some seconds."""
     for engine in bed.engines.values():
         engine.report_extra_lag_s = STALE_REPORTS_S if on else 0
 
@@ -52,13 +52,13 @@
 
 @FAULTS.register('log-outage')
 def log_outage(bed: Bed, target: str, *, on: bool) -> None:
-    """Take the log away."""
+    """Make the log unavailable."""
     bed.log.faults.away = on
 
 
 @FAULTS.register('leader-killed')
 def leader_killed(bed: Bed, target: str, *, on: bool) -> None:
-    """Kill the entry that holds a fleet's lease; a new one starts later."""
+    """Kill the instance that holds a fleet's lease; start a new one when cleared."""
     if on:
         for name, started in bed.entries.items():
             follower = started.entry.follower
--- a/packages/sesamectl/src/sesamectl/experiment/figures.py
+++ b/packages/sesamectl/src/sesamectl/experiment/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a finished trial."""
+"""Figures of a finished trial."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Figures(NamedTuple):
-    """What one trial came to; docs/EXPERIMENTS.md explains each."""
+    """Counts, shares and times of one trial; docs/EXPERIMENTS.md explains each."""
 
     offered: int
     answered_in_time: int
@@ -38,7 +38,7 @@
 
 
 def figures(trial: Trial, finished: Finished) -> Figures:
-    """Count a finished trial's outcomes."""
+    """Compute the figures of a finished trial."""
     tags = Counter(_tag(ended) for ended in finished.ended)
     offered = len(finished.ended)
     in_time = tags[Answered.tag]
--- a/packages/sesamectl/src/sesamectl/experiment/ideal.py
+++ b/packages/sesamectl/src/sesamectl/experiment/ideal.py
@@ -1,13 +1,13 @@
-"""An upper bound on goodput for a trial's arrivals.
+"""Upper bound on the goodput of a trial's arrivals.
 
-Cut the time into tiles. A request that arrives and is due inside one tile
-must be worked off inside it, and needs at least the engine time that it
+The time is divided into tiles. A request that arrives and is due inside one
+tile must be processed inside it, and needs at least the engine time that it
 would take in its best role, in full batches, with its shared prefix cached.
-Where the requests of a tile need more than all runners have, some cannot
-be answered in time, at least as many as the largest whose removal makes the
-rest fit. Roles cost nothing and the future is known, so no policy does
-better. Tiles do not overlap, so their losses add up; the bound is the best
-over several tile lengths.
+If the requests of a tile need more engine time than all runners have, some
+cannot be answered in time: at least as many as must be dropped, largest
+first, until the others fit. The bound assumes that role changes cost nothing
+and that the future is known, so no policy does better. Tiles do not overlap,
+so their losses add up; the bound is the tightest over several tile lengths.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def least_engine_s(engine: EngineConfig, req: CallerRequest) -> float:
-    """Return the least engine time that a request can take, in seconds."""
+    """Return the least engine time that a request needs, in seconds."""
     prompt = max(req.job.prompt_tokens - req.job.prefix_tokens, 1)
     output = req.job.output_tokens
     profiles = engine['profiles'].values()
--- a/packages/sesamectl/src/sesamectl/experiment/run.py
+++ b/packages/sesamectl/src/sesamectl/experiment/run.py
@@ -1,4 +1,4 @@
-"""Running one scenario under one policy."""
+"""Trials of one scenario under one policy, in virtual time."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Trial(NamedTuple):
-    """What is run: a scenario on a deployment, under a policy and a seed."""
+    """A scenario on a deployment, under a policy and a seed."""
 
     configuration: Configuration
     scenario: Scenario
@@ -37,10 +37,10 @@
 
 
 class Ended(NamedTuple):
-    """How one request ended for its caller.
+    """Outcome of one request for its caller.
 
-    ``first_s`` is the time to the first token; ``gap_s`` the mean time
-    between two tokens after it; both are None where there was none.
+    The time to the first token, and the mean time between two tokens after it,
+    are in seconds; both are None if there was no such token.
     """
 
     arrival: Arrival
@@ -52,7 +52,7 @@
 
 
 class Finished(NamedTuple):
-    """All that a trial left behind."""
+    """Outcomes, counts and decisions of a finished trial."""
 
     ended: tuple[Ended, ...]
     role_changes: int
@@ -67,7 +67,7 @@
 
 
 class _Runner:
-    """Plays a scenario's arrivals, faults and switches against a bed."""
+    """Runs a scenario's arrivals, faults and preset switches on a test bench."""
 
     def __init__(self, trial: Trial) -> None:
         self._trial = trial
@@ -75,7 +75,7 @@
         self._next_entry = 0
 
     async def run(self) -> Finished:
-        """Play everything and gather what it came to."""
+        """Run the whole scenario and collect the outcomes."""
         trial = self._trial
         async with self._open() as bed:
             await trio.sleep(WARM_UP_S)
@@ -98,7 +98,7 @@
         return Bed.open(dict(trial.configuration), trial.seed, policy=trial.policy, fleets=fleets)
 
     async def _call(self, bed: Bed, arrival: Arrival) -> None:
-        """Send a request; come back when told to, as often as the caller may."""
+        """Send a request; retry at the time that the answer names, as often as the caller may."""
         ended = await self._call_once(bed, arrival)
         for _ in range(arrival.client_retries):
             if isinstance(ended.outcome, NotRun):
@@ -107,44 +107,44 @@
         self._ended.append(ended)
 
     async def _call_once(self, bed: Bed, arrival: Arrival) -> Ended:
-        seen = _Caller()
+        recorder = _Caller()
         started = trio.current_time()
         entry = self._entry(bed)
-        outcome = await bed.entries[entry].entry.serve(arrival.req, seen.emit)
+        outcome = await bed.entries[entry].entry.serve(arrival.req, recorder.emit)
         expected = answer_text(seed_of(arrival.req.job.body), 0, arrival.req.job.output_tokens)
-        whole = not isinstance(outcome, Answered) or seen.text == expected
+        whole = not isinstance(outcome, Answered) or recorder.text == expected
         took_s = trio.current_time() - started
-        return Ended(arrival, outcome, took_s, seen.first_s(started), seen.gap_s(), whole)
+        return Ended(arrival, outcome, took_s, recorder.first_s(started), recorder.gap_s(), whole)
 
     def _entry(self, bed: Bed) -> str:
-        """Return the next entry, as a balancer would."""
+        """Return the name of the next instance, in rotation as with a load balancer."""
         self._next_entry += 1
-        names = sorted(bed.entries)
-        return names[self._next_entry % len(names)]
+        entries = sorted(bed.entries)
+        return entries[self._next_entry % len(entries)]
 
     def _finished(self, bed: Bed) -> Finished:
         engines = bed.engines.values()
-        torn = sum(not ended.whole for ended in self._ended)
+        not_whole = sum(not ended.whole for ended in self._ended)
         decisions = [decision for started in bed.entries.values() for decision in started.entry.decisions.newest()]
         return Finished(
             ended=tuple(self._ended),
             role_changes=sum(len(engine.orders) for engine in engines),
             duplicates=self._duplicates(bed),
-            cut_off=torn + sum(engine.cut_off_by_order for engine in engines),
+            cut_off=not_whole + sum(engine.cut_off_by_order for engine in engines),
             decisions=tuple(sorted(decisions, key=lambda found: found.at)),
         )
 
     def _duplicates(self, bed: Bed) -> int:
-        """Count the requests that may run once only and ran more often."""
+        """Count the requests that may run only run_once and ran more often."""
         runs: Counter[int] = Counter()
         for engine in bed.engines.values():
             runs.update(engine.runs_by_seed)
-        once = {seed_of(ended.arrival.req.job.body) for ended in self._ended if not ended.arrival.req.repeatable}
-        return sum(runs[seed] > 1 for seed in once)
+        run_once = {seed_of(ended.arrival.req.job.body) for ended in self._ended if not ended.arrival.req.repeatable}
+        return sum(runs[seed] > 1 for seed in run_once)
 
 
 class _Caller:
-    """A caller that notes when tokens come."""
+    """Records the chunks of an answer and when they arrived."""
 
     def __init__(self) -> None:
         self._chunks: list[bytes] = []
@@ -152,20 +152,20 @@
 
     @property
     def text(self) -> str:
-        """All that came."""
+        """Text of all chunks."""
         return b''.join(self._chunks).decode()
 
     async def emit(self, chunk: bytes) -> None:
-        """Take a chunk."""
+        """Record a chunk."""
         self._chunks.append(chunk)
         self._times.append(trio.current_time())
 
     def first_s(self, started: float) -> float | None:
-        """Seconds to the first token."""
+        """Return the seconds to the first token."""
         return self._times[0] - started if self._times else None
 
     def gap_s(self) -> float | None:
-        """Mean seconds between two tokens after the first."""
+        """Return the mean seconds between two tokens after the first."""
         tokens = sum(chunk.count(b' ') for chunk in self._chunks[1:])
         return (self._times[-1] - self._times[0]) / tokens if tokens else None
 
--- a/packages/sesamectl/src/sesamectl/experiment/scenario.py
+++ b/packages/sesamectl/src/sesamectl/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: arrivals by class, faults and preset switches at times."""
+"""Scenario files: arrivals by class, scheduled faults and preset switches."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 class ArrivalClass(TypedDict):
     """One kind of request and how it arrives.
 
-    ``rate`` is a line through points of seconds and requests a second,
-    repeated every ``period_s`` if that is given. Lengths are drawn evenly
-    from their ranges, in tokens. Of ``prefixes`` shared heads, one is drawn
-    for each request. ``client_retries`` is how often a caller that was told
-    `not_run` comes back at the time it was told.
+    ``rate`` has points of seconds and requests per second, interpolated
+    linearly and repeated every ``period_s`` if that is given. Lengths are drawn
+    uniformly from their ranges, in tokens. Each request gets one of
+    ``prefixes`` shared prefixes. ``client_retries`` is how often a caller
+    retries after the outcome `not_run`, at the time that the answer names.
     """
 
     fleet: Name
@@ -43,7 +43,7 @@
 
 @with_config(_CLOSED)
 class FaultAt(TypedDict):
-    """A fault from ``at`` until ``until``, in seconds; see docs/EXPERIMENTS.md."""
+    """A fault from ``at`` until ``until``, in seconds from the start; see docs/EXPERIMENTS.md."""
 
     at: NonNegative
     until: NonNegative
@@ -53,7 +53,7 @@
 
 @with_config(_CLOSED)
 class SwitchAt(TypedDict):
-    """A preset that an operator switches to at a time."""
+    """A switch to a preset by the operator, at a time in seconds from the start."""
 
     at: NonNegative
     preset: Literal['ordinary', 'peak', 'maintenance']
@@ -61,7 +61,7 @@
 
 @with_config(_CLOSED)
 class Scenario(TypedDict):
-    """What happens in one experiment."""
+    """Arrivals, faults and preset switches of one experiment."""
 
     about: str
     duration_s: Positive
@@ -71,33 +71,33 @@
 
 
 class Source(NamedTuple):
-    """Where a scenario is and whose shipped ones it may build on."""
+    """File of a scenario, and the deployment whose shipped scenarios it may extend."""
 
     path: Path
     deployment: str
 
 
 def shipped_scenarios(deployment: str) -> tuple[str, ...]:
-    """Return the names of a user's shipped scenarios."""
+    """Return the names of a deployment's shipped scenarios."""
     return tuple(sorted(path.stem for path in (SHIPPED / deployment).glob('*.json')))
 
 
 def find_scenario(deployment: str, name: str) -> Source:
-    """Return the file of a shipped name, or of a path."""
+    """Return the shipped scenario of a name, or else the file at that path."""
     shipped = SHIPPED / deployment / f'{name}.json'
     return Source(shipped if shipped.exists() else Path(name), deployment)
 
 
 def load_scenario(source: Source) -> Scenario:
-    """Return a checked scenario.
+    """Load a scenario and check it.
 
-    A file with ``base`` changes the shipped scenario of that name: its
-    classes are merged key by key, everything else is replaced.
+    A file with ``base`` extends the shipped scenario of that name: its classes
+    are merged key by key, everything else is replaced.
 
     Raises
     ------
     SettingsError
-        On the first thing that is wrong, with its path in the document.
+        On the first problem, with its path in the document.
     """
     return checked(source.path, _merged(source), Scenario)
 
--- a/packages/sesamectl/src/sesamectl/log_lines.py
+++ b/packages/sesamectl/src/sesamectl/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading log lines of front processes, also with other text around them."""
+"""Reading of log lines of front processes, also with other text around them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def decode_line(text: str) -> dict[str, Any] | None:
-    """Return the fields of a log line, or None if ``text`` is none."""
+    """Return the fields of the log line in ``text``, or None if it holds none."""
     start = text.find('{')
     if start < 0:
         return None
@@ -27,10 +27,10 @@
 
 @contextmanager
 def opened_logs(name: str | None, account: str | None = None) -> Iterator[Iterable[str]]:
-    """Give the lines of the file called ``name``, or of standard input without one.
+    """Open the file ``name``, or standard input if it is None, and yield its lines.
 
-    Of an ``account``, if one is named, only the ends of its requests; lines that
-    are none at all stay, so that they are counted.
+    With an ``account``, yield only the lines on the ends of its requests. Text
+    that is no log line stays, so that it is counted.
     """
     if name is None:
         yield _of_account(sys.stdin, account)
--- a/packages/sesamectl/src/sesamectl/loss.py
+++ b/packages/sesamectl/src/sesamectl/loss.py
@@ -1,4 +1,4 @@
-"""Where callers' time and the worth of their requests went, by the logs."""
+"""Losses of worth and of callers' time through requests not answered on time."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-# A request counts by its size against the mean of its route, as the callers'
-# operators weigh them: so much in any case, the rest by size, up to a bound.
+# A request's worth depends on its size relative to the mean of its route, as the
+# callers' operators weigh it: a fixed share, the rest in proportion, up to a bound.
 FIXED_WORTH = 0.3
 MAX_WORTH = 4.0
-# A token of the answer takes an engine about as long as so many of the prompt.
+# A token of the answer takes an engine about as long as this many tokens of the prompt.
 ANSWER_TOKEN_WEIGHT = 10
-# Upper ends of the bands of prompt sizes, in tokens.
+# Upper bounds of the bands of prompt sizes, in tokens.
 SIZE_BANDS = ((1_000, 'under 1k'), (5_000, '1k to 5k'), (20_000, '5k to 20k'))
 LARGEST_BAND = '20k and more'
 PLAIN_BAND = 'no prompt'
@@ -30,11 +30,12 @@
     Parameters
     ----------
     cause
-        What it was lost by.
+        Cause of the loss.
     worth
-        What that cost; an on-time answer of mean size is worth 1.
+        Worth that was lost; an on-time answer of mean size is worth 1.
     time_s
-        What its caller waited beyond the time to be on time, or in vain.
+        Time past the target of a late answer, or the whole time of a request
+        without a whole answer.
     """
 
     ended: Ended
@@ -44,12 +45,12 @@
 
 
 class Sum(NamedTuple):
-    """Requests that have something in common.
+    """Losses with the same name, added up.
 
     Parameters
     ----------
     requests, worth, time_s
-        What was lost: see :class:`Lost`.
+        Totals of the losses.
     """
 
     name: tuple[str, ...]
@@ -59,12 +60,12 @@
 
 
 class Loss(NamedTuple):
-    """All requests of some logs, and those of them that lost something.
+    """All requests of some logs, and those of them that were not answered on time.
+
+    The worths by route are those of all requests, as if all were on time.
 
     Parameters
     ----------
-    worths
-        What all requests could be worth, by route.
     start_s
         When the first of them ended.
     """
@@ -75,7 +76,7 @@
     start_s: float
 
     def by(self, name_of: Callable[[Lost], tuple[str, ...]]) -> list[Sum]:
-        """Return sums over what ``name_of`` names alike, the dearest first."""
+        """Return the losses grouped by a key, the largest worth first."""
         groups: dict[tuple[str, ...], list[Lost]] = defaultdict(list)
         for lost in self.lost:
             groups[name_of(lost)].append(lost)
@@ -84,15 +85,15 @@
 
 
 def find_loss(ended: Sequence[Ended], late_share: float) -> Loss:
-    """Return what was lost; a late answer keeps ``late_share`` of its worth."""
+    """Return the losses; a late answer keeps ``late_share`` of its worth."""
     means = _mean_sizes(ended)
     worths: dict[str, float] = defaultdict(float)
     lost = []
-    for one in ended:
-        worth = _worth(one, means[one.route])
-        worths[one.route] += worth
-        if not one.on_time:
-            lost.append(_lost(one, worth, late_share))
+    for request in ended:
+        worth = _worth(request, means[request.route])
+        worths[request.route] += worth
+        if not request.on_time:
+            lost.append(_lost(request, worth, late_share))
     start_s = min((end.ended_s for end in ended), default=0)
     return Loss(tuple(ended), tuple(lost), dict(worths), start_s)
 
@@ -105,7 +106,7 @@
 
 
 def late_by(ended: Ended) -> str:
-    """Return what took most of the time of an answer that came late."""
+    """Return what took most of the time of a late answer."""
     if ended.returned:
         return 'late: its caller had to come back'
     if ended.first_total_ms is None:
@@ -151,10 +152,10 @@
 
 def _mean_sizes(ended: Iterable[Ended]) -> dict[str, float]:
     sizes: dict[str, list[float]] = defaultdict(list)
-    for one in ended:
-        # A request that never found an engine does not tell its size.
-        sizes[one.route].extend([_size(one)] if one.tokens else [])
-    return {route: sum(found) / len(found) if found else 0 for route, found in sizes.items()}
+    for request in ended:
+        # The log has no size for a request that was never sent to an engine.
+        sizes[request.route].extend([_size(request)] if request.tokens else [])
+    return {route: sum(samples) / len(samples) if samples else 0 for route, samples in sizes.items()}
 
 
 def _sum(name: tuple[str, ...], group: Sequence[Lost]) -> Sum:
--- a/packages/sesamectl/src/sesamectl/loss_page.py
+++ b/packages/sesamectl/src/sesamectl/loss_page.py
@@ -1,4 +1,4 @@
-"""The report on what was lost, as one HTML page with charts."""
+"""Report on lost worth, as one HTML page with charts."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
     from sesamectl.loss import Loss, Lost
     from sesamectl.loss_text import Windows
 
-# The dearest causes have a colour each, all others the last one.
+# The causes with the largest losses have a colour each, all others the last one.
 COLOURS = ('#c0504d', '#e3b23c', '#5b7fb5', '#4c9f70', '#8e6bbf', '#d98cb3', '#6bb5b0', '#9a9a9a')
 OTHERS = 'all others'
 ALL_ROUTES = 'all routes'
 WIDTH = 900
 HEIGHT = 140
-# The share of a window's place that its bar takes.
+# Share of a window's width that its bar takes.
 BAR_SHARE = 0.9
 PAGE = """<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>What was lost</title><style>
+<html lang="en"><head><meta charset="utf-8"><title>Lost worth</title><style>
 body {{ font: 15px/1.4 sans-serif; margin: 2em; max-width: 62em; color: #222 }}
 h2 {{ font-size: 1em; margin: 1.4em 0 0.2em }} svg {{ background: #f4f4f4 }} pre {{ font-size: 12px }}
 .key {{ display: inline-block; margin-right: 1.2em }} .key i {{ display: inline-block; width: 0.9em; height: 0.9em }}
-</style></head><body><h1>What was lost, and by what</h1>
+</style></head><body><h1>Lost worth by cause</h1>
 <p>Bars: worth lost in windows of {window_s:g} s, by cause.</p>
 <p>{keys}</p>{charts}<h2>Tables</h2><pre>{text}</pre></body></html>
 """
 
 
 class _Places(NamedTuple):
-    """Where the bars of windows go, in pixels: the widths of a second and of a bar."""
+    """Positions of the bars, in pixels: the widths of a second and of a bar."""
 
     second_px: float
     window_px: float
 
 
 def loss_html(loss: Loss, text: str, window_s: float) -> str:
-    """Return one page with a chart over all routes, one a route, and the tables in ``text``."""
+    """Return one page with a chart over all routes, one chart per route, and the tables in ``text``."""
     colours = _colours(loss)
     keys = ''.join(starmap(_key, colours.items()))
     charts = ''.join(_charts(loss, colours, window_s))
@@ -64,12 +64,12 @@
 
 
 def _colours(loss: Loss) -> dict[str, str]:
-    dearest = [one.name[0] for one in loss.by(by_cause)]
-    shown = dearest[: len(COLOURS) - 1]
-    found = dict(zip(shown, COLOURS, strict=False))
-    if len(dearest) > len(shown):
-        found[OTHERS] = COLOURS[-1]
-    return found
+    causes = [one.name[0] for one in loss.by(by_cause)]
+    shown = causes[: len(COLOURS) - 1]
+    colours = dict(zip(shown, COLOURS, strict=False))
+    if len(causes) > len(shown):
+        colours[OTHERS] = COLOURS[-1]
+    return colours
 
 
 def _key(cause: str, colour: str) -> str:
@@ -89,21 +89,21 @@
 
 
 def _worths(lost: Iterable[Lost], colours: Mapping[str, str]) -> dict[str, float]:
-    """Return what was lost by colour, the dearest cause first."""
-    found = dict.fromkeys(colours.values(), float())
+    """Return the lost worth by colour, the largest cause first."""
+    worth_by_colour = dict.fromkeys(colours.values(), float())
     for one in lost:
-        found[colours.get(one.cause, COLOURS[-1])] += one.worth
-    return found
+        worth_by_colour[colours.get(one.cause, COLOURS[-1])] += one.worth
+    return worth_by_colour
 
 
 def _stack(left: float, worths: Mapping[str, float], scale: float, width: float) -> str:
     top = float(HEIGHT)
-    parts = []
+    rects = []
     for colour, worth in worths.items():
         top -= worth * scale
-        across = f'x="{left:.1f}" width="{width:.1f}"'
-        parts.append(f'<rect {across} y="{top:.1f}" height="{worth * scale:.1f}" fill="{colour}"/>')
-    return ''.join(parts)
+        position = f'x="{left:.1f}" width="{width:.1f}"'
+        rects.append(f'<rect {position} y="{top:.1f}" height="{worth * scale:.1f}" fill="{colour}"/>')
+    return ''.join(rects)
 
 
 __all__ = ('loss_html',)
--- a/packages/sesamectl/src/sesamectl/loss_text.py
+++ b/packages/sesamectl/src/sesamectl/loss_text.py
@@ -1,4 +1,4 @@
-"""The report on what was lost, as text."""
+"""Report on lost worth, as text."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from sesamectl.loss import Loss, Lost, Sum
     from sesamectl.waits import WaitError
 
-# Windows by their start, in seconds from the first end, with what was lost in each.
+# Start of each window, in seconds since the first request ended, and its losses.
 Windows = list[tuple[float, list['Lost']]]
-# Rows shown of a table; the rest is summed up in one.
+# Rows shown of a table; the others are added up in one more row.
 SHOWN = 14
 WORST_WINDOWS = 4
 CAUSES_OF_WINDOW = 3
 
 
 def loss_text(loss: Loss, errors: Sequence[WaitError], read: EndedRead, window_s: float) -> str:
-    """Return the tables, the most costly rows first, and what was left out."""
+    """Return the tables, the largest losses first, and notes on what is missing."""
     blocks = [
         _heading(loss),
         _table('by cause', loss.by(by_cause), loss),
@@ -37,26 +37,26 @@
 
 
 def by_cause(one: Lost) -> tuple[str, ...]:
-    """Name what was lost by its cause."""
+    """Return the cause of a loss, to group by."""
     return (one.cause,)
 
 
 def by_route(one: Lost) -> tuple[str, ...]:
-    """Name what was lost by its route and its cause."""
+    """Return the route and the cause of a loss, to group by."""
     return one.ended.route, one.cause
 
 
 def by_size(one: Lost) -> tuple[str, ...]:
-    """Name what was lost by the size of its prompt and its cause."""
+    """Return the size band of the prompt and the cause of a loss, to group by."""
     return size_band(one.ended), one.cause
 
 
 def windows_of(loss: Loss, window_s: float) -> Windows:
-    """Return the start and the losses of each window, in order of time."""
-    found: dict[int, list[Lost]] = defaultdict(list)
+    """Return the start and the losses of each window that has any, in order of time."""
+    losses: dict[int, list[Lost]] = defaultdict(list)
     for one in loss.lost:
-        found[int((one.ended.ended_s - loss.start_s) // window_s)].append(one)
-    return [(place * window_s, found[place]) for place in sorted(found)]
+        losses[int((one.ended.ended_s - loss.start_s) // window_s)].append(one)
+    return [(index * window_s, losses[index]) for index in sorted(losses)]
 
 
 def _heading(loss: Loss) -> str:
@@ -73,10 +73,14 @@
     worth = sum(loss.worths.values())
     lines = [f'{title:52}{"requests":>9}{"worth":>9}{"share":>8}{"seconds":>10}']
     lines += [_row(one, worth) for one in sums[:SHOWN]]
-    rest = sums[SHOWN:]
-    if rest:
-        counts = sum(one.requests for one in rest), sum(one.worth for one in rest), sum(one.time_s for one in rest)
-        lines.append(_figures(f'{len(rest)} more rows', *counts, worth))
+    others = sums[SHOWN:]
+    if others:
+        counts = (
+            sum(one.requests for one in others),
+            sum(one.worth for one in others),
+            sum(one.time_s for one in others),
+        )
+        lines.append(_figures(f'{len(others)} more rows', *counts, worth))
     return '\n'.join(lines)
 
 
@@ -89,31 +93,31 @@
 
 
 def _windows(loss: Loss, window_s: float) -> str:
-    found = sorted(windows_of(loss, window_s), key=lambda window: _worth(window[1]), reverse=True)
+    worst = sorted(windows_of(loss, window_s), key=lambda window: _worth(window[1]), reverse=True)
     lines = [
         f'from second {start_s:g}: {len(lost)} requests, worth {_worth(lost):.1f}: {_main_causes(lost)}'
-        for start_s, lost in found[:WORST_WINDOWS]
+        for start_s, lost in worst[:WORST_WINDOWS]
     ]
     return '\n'.join([f'worst windows of {window_s:g} s', *lines]) if lines else ''
 
 
 def _main_causes(lost: Iterable[Lost]) -> str:
-    worths: dict[str, float] = defaultdict(float)
+    worth_by_cause: dict[str, float] = defaultdict(float)
     for one in lost:
-        worths[one.cause] += one.worth
-    main = sorted(worths.items(), key=lambda pair: (-pair[1], pair[0]))[:CAUSES_OF_WINDOW]
-    return ', '.join(f'{cause} {worth:.1f}' for cause, worth in main)
+        worth_by_cause[one.cause] += one.worth
+    largest = sorted(worth_by_cause.items(), key=lambda pair: (-pair[1], pair[0]))[:CAUSES_OF_WINDOW]
+    return ', '.join(f'{cause} {worth:.1f}' for cause, worth in largest)
 
 
 def _waits(errors: Sequence[WaitError]) -> str:
     if not errors:
         return ''
-    head = f'{"waits at the entry, by route and wait expected":52}'
-    lines = [f'{head}{"requests":>9}{"told ms":>9}{"was ms":>8}{"right":>8}{"shorter":>9}{"longer":>8}']
+    head = f'{"queue waits, by route and expected wait":52}'
+    lines = [f'{head}{"requests":>9}{"est. ms":>9}{"real ms":>8}{"right":>8}{"shorter":>9}{"longer":>8}']
     for one in errors:
         name = f'{one.route}, {one.load}'
-        figures = f'{one.requests:9}{one.expected_ms:9.0f}{one.seen_ms:8.0f}'
-        lines.append(f'{name:52}{figures}{one.right:8}{one.shorter:9}{one.longer:8}')
+        columns = f'{one.requests:9}{one.expected_ms:9.0f}{one.seen_ms:8.0f}'
+        lines.append(f'{name:52}{columns}{one.right:8}{one.shorter:9}{one.longer:8}')
     return '\n'.join(lines)
 
 
--- a/packages/sesamectl/src/sesamectl/request_walk.py
+++ b/packages/sesamectl/src/sesamectl/request_walk.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the logs of the front processes."""
+"""Explanation of one request's outcome, from the logs of the front processes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# What else happened to the runners of a request is shown if it lies so many
-# log lines before its end or less; busy processes write some hundred a second.
+# Other events of a request's runners are shown if they are at most this many log
+# lines before its end. A busy process writes some hundred lines a second.
 LINES_BEFORE = 2000
 CAUSES_SHOWN = 5
-# Shown apart, or the same on all lines of one request.
+# Fields that are shown separately, or are the same on all lines of one request.
 HEADINGS = frozenset(('asctime', 'levelname', 'message', 'process', 'event', 'request'))
 RUNNER_EVENTS = frozenset(
     event.number
@@ -36,11 +36,11 @@
 )
 
 
-# By what its runners have said of themselves.
+# Refusals because of the status that the runners reported, by cause.
 _REFUSED_BY_WORDS: Mapping[str, str] = MappingProxyType(
     {
-        Cause.limited: 'refused: its runners name limits, and it had no place among what they take in its time',
-        Cause.resting: 'refused: its runners had asked for rest, and none ended in its time',
+        Cause.limited: 'refused: its runners name limits, and these left no permit for it before its deadline',
+        Cause.resting: 'refused: its runners had asked for rest, and no back-off ended before its deadline',
         Cause.leaving: 'refused: all runners of its service leave, and no other one is registered',
     }
 )
@@ -63,40 +63,40 @@
 
 
 def explain_request(request_id: str, logs: Iterable[str]) -> str:
-    """Return what the logs tell of a request, and a verdict.
+    """Return the log lines of a request, related events and its outcome.
 
     Raises
     ------
     UnknownRequestError
         If no line names it.
     """
-    lines = [_Line(place, fields) for place, text in enumerate(logs) if (fields := decode_line(text))]
+    lines = [_Line(number, fields) for number, text in enumerate(logs) if (fields := decode_line(text))]
     own = [line for line in lines if line.fields.get('request') == request_id]
     if not own:
         raise UnknownRequestError(request_id)
     end = next((line for line in own if line.fields['event'] == events.ANSWER_ENDED.number), own[-1])
-    shown = [_show(line.fields) for line in own]
-    around = _around(lines, end, request_id)
-    return '\n'.join([f'request {request_id}', *shown, *around, f'verdict: {_verdict(end.fields, own)}'])
+    own_lines = [_show(line.fields) for line in own]
+    preceding = _around(lines, end, request_id)
+    return '\n'.join([f'request {request_id}', *own_lines, *preceding, f'verdict: {_verdict(end.fields, own)}'])
 
 
 def _show(fields: dict[str, Any]) -> str:
-    known = [(name, text) for name, text in fields.items() if name not in HEADINGS and text not in (None, '')]
-    rest = ', '.join(f'{name} {text}' for name, text in known)
-    return f'  {fields.get("asctime", "")} {fields.get("process", "")} {fields["message"]}: {rest}'
+    fields_shown = [(name, text) for name, text in fields.items() if name not in HEADINGS and text not in (None, '')]
+    details = ', '.join(f'{name} {text}' for name, text in fields_shown)
+    return f'  {fields.get("asctime", "")} {fields.get("process", "")} {fields["message"]}: {details}'
 
 
 def _around(lines: list[_Line], end: _Line, request_id: str) -> list[str]:
-    """Count what happened to the request's runners shortly before its end."""
+    """Return the most frequent events of the request's runners shortly before its end."""
     runners = {*(end.fields.get('runners') or ()), *(end.fields.get('passed_over') or ())}
-    near = (line.fields for line in lines if end.place - LINES_BEFORE <= line.place <= end.place)
-    of_runners = (fields for fields in near if fields['event'] in RUNNER_EVENTS and fields.get('runner') in runners)
-    found = Counter(
+    recent = (line.fields for line in lines if end.place - LINES_BEFORE <= line.place <= end.place)
+    of_runners = (fields for fields in recent if fields['event'] in RUNNER_EVENTS and fields.get('runner') in runners)
+    counts = Counter(
         f'{fields["runner"]}: {fields["message"]} ({fields.get("cause", "")})'
         for fields in of_runners
         if fields.get('request') != request_id
     )
-    return [f'  before, {text}, {times} times' for text, times in found.most_common(CAUSES_SHOWN)]
+    return [f'  before, {text}, {times} times' for text, times in counts.most_common(CAUSES_SHOWN)]
 
 
 def _verdict(end: dict[str, Any], own: list[_Line]) -> str:
@@ -115,21 +115,21 @@
 
 
 def _refused(end: dict[str, Any], kinds: set[int]) -> str:
-    by_words = _REFUSED_BY_WORDS.get(end.get('cause', ''))
-    if by_words:
-        return by_words
+    by_status = _REFUSED_BY_WORDS.get(end.get('cause', ''))
+    if by_status:
+        return by_status
     if events.REQUEST_REFUSED.number in kinds:
-        return 'refused at once: every engine had more work than would have been done in its time'
+        return 'refused at once: every engine had more work than it could finish before the deadline'
     return ''
 
 
 def _broken_off(end: dict[str, Any], kinds: set[int]) -> str:
     if events.ATTEMPT_ENDED.number in kinds:
-        return 'broken off: its runner broke off, and it may not run again'
+        return 'broken off: its runner broke off, and it must not run again'
     if events.CALLER_LEFT.number in kinds and end.get('first_total_ms') is None:
-        return 'the caller left before the first of its answer'
+        return 'the caller left before the first output of its answer'
     if events.CALLER_LEFT.number in kinds:
-        return 'the caller left in the middle of its answer'
+        return 'the caller left during its answer'
     return 'broken off at its deadline'
 
 
--- a/packages/sesamectl/src/sesamectl/waits.py
+++ b/packages/sesamectl/src/sesamectl/waits.py
@@ -1,4 +1,4 @@
-"""How right the estimates of waits at the entries were, by the logs."""
+"""Errors of the estimates of queue waits, read from logs."""
 
 from __future__ import annotations
 
@@ -11,26 +11,25 @@
 
     from sesamectl.ended import Ended
 
-# An estimate is right if the wait lies within this share of it, or within
-# the time between two looks at what waits (milliseconds).
+# An estimate is right if the wait differs from it by at most this share of it, or
+# by at most the milliseconds between two checks of the queue.
 RIGHT_SHARE = 1 / 3
 RIGHT_MS = 15
-# Upper ends of the bands of load, as the wait that was expected, in ms.
+# Upper bounds of the bands of expected waits, in milliseconds.
 LOAD_BANDS = ((150, 'under 0.15 s'), (500, '0.15 to 0.5 s'), (1500, '0.5 to 1.5 s'))
 HIGHEST_BAND = 'over 1.5 s'
 
 
 class WaitError(NamedTuple):
-    """Requests of one route that were told about the same wait.
+    """Requests of one route whose expected wait lay in the same band.
+
+    The expected and the actual wait are medians, in milliseconds.
 
     Parameters
     ----------
-    load
-        The band of the wait that was expected.
-    expected_ms, seen_ms
-        Medians.
     right, shorter, longer
-        Requests whose wait was right to a third, shorter or longer.
+        Requests whose wait was as expected to a third or 15 ms, shorter or
+        longer.
     """
 
     route: str
@@ -44,7 +43,7 @@
 
 
 def wait_errors(ended: Iterable[Ended]) -> list[WaitError]:
-    """Return the errors by route and load, of all that waited and were let go."""
+    """Return the errors by route and band, over all requests that waited and were then sent."""
     groups: dict[tuple[str, str], list[Ended]] = defaultdict(list)
     for one in ended:
         if one.wait_expected_ms is not None and one.sends:
@@ -58,14 +57,14 @@
 
 def _error(route: str, load: str, group: Sequence[Ended]) -> WaitError:
     expected = [one.wait_expected_ms or 0 for one in group]
-    seen = [one.held_ms for one in group]
-    signs = [_sign(was, expected_ms) for was, expected_ms in zip(seen, expected, strict=True)]
+    actual = [one.held_ms for one in group]
+    signs = [_sign(was, expected_ms) for was, expected_ms in zip(actual, expected, strict=True)]
     return WaitError(
         route,
         load,
         len(group),
         median(expected),
-        median(seen),
+        median(actual),
         right=signs.count(0),
         shorter=signs.count(-1),
         longer=signs.count(1),
--- a/tests/ctl/builders.py
+++ b/tests/ctl/builders.py
@@ -13,13 +13,13 @@
 
 def line(event: events.Event, second: int = 0, **fields: Any) -> str:
     """Return one log line of a front process."""
-    written = f'2026-05-01 08:00:{second:02},000'
-    head = {'asctime': written, 'message': event.text, 'process': 'front-1', 'event': event.number}
-    return msgspec.json.encode({**head, **fields}).decode()
+    logged_at = f'2026-05-01 08:00:{second:02},000'
+    common = {'asctime': logged_at, 'message': event.text, 'process': 'front-1', 'event': event.number}
+    return msgspec.json.encode({**common, **fields}).decode()
 
 
 def ended(request: str, second: int = 0, **changes: Any) -> str:
-    """Return the last line of a request."""
+    """Return the log line on the end of a request."""
     base = {
         'route': 'verdicts',
         'status': 200,
--- a/tests/ctl/test_account_search.py
+++ b/tests/ctl/test_account_search.py
@@ -1,4 +1,4 @@
-"""Figures and requests of one client account."""
+"""Tests of reports and searches limited to one client account."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def _told(*arguments: str) -> str:
-    """Return what a command prints on logs of two accounts, with a line that was cut off."""
-    mine = [ended(f'mine{number}', second=number, account='harbor') for number in range(3)]
+    """Return what a command prints for logs of two accounts and one truncated line."""
+    own = [ended(f'mine{number}', second=number, account='harbor') for number in range(3)]
     others = [ended(f'other{number}', second=number, account='marina', on_time=False) for number in range(5)]
     with TemporaryDirectory() as folder:
         source = Path(folder, 'front.log')
-        source.write_text('\n'.join([*mine, *others, mine[0][:40]]), encoding='utf-8')
+        source.write_text('\n'.join([*own, *others, own[0][:40]]), encoding='utf-8')
         printed = io.StringIO()
         with redirect_stdout(printed):
             main([*arguments, '--account', 'harbor', '--logs', str(source)])
@@ -26,25 +26,25 @@
 
 
 class AccountTest(TestCase):
-    """What the commands show with an account."""
+    """Output of the commands with ``--account``."""
 
     def test_explain(self) -> None:
-        """Its requests, each with whether it ran, and none of another's."""
-        told = _told('explain')
-        self.assertEqual([f'mine{number}' in told for number in range(3)], [True, True, True])
-        self.assertNotIn('other', told.replace('another', ''))
+        """Only requests of the account are listed."""
+        printed = _told('explain')
+        self.assertEqual([f'mine{number}' in printed for number in range(3)], [True, True, True])
+        self.assertNotIn('other', printed.replace('another', ''))
 
     def test_burn(self) -> None:
-        """All of its requests were on time, whatever became of the others."""
-        told = _told('burn')
-        self.assertRegex(told, r'verdicts +3 +0 +0 +0 +0 +0\.0')
+        """Late requests of another account are not counted."""
+        printed = _told('burn')
+        self.assertRegex(printed, r'verdicts +3 +0 +0 +0 +0 +0\.0')
 
     def test_loss(self) -> None:
-        """Three requests, and a note on the line that was cut off."""
-        told = _told('loss')
-        self.assertIn('3', told)
-        self.assertIn('cut off', told)
+        """Three requests are counted, and the truncated line is noted."""
+        printed = _told('loss')
+        self.assertIn('3', printed)
+        self.assertIn('cut off', printed)
 
     def test_unknown(self) -> None:
-        """An account that no line names has no requests."""
+        """A route without requests of the account gives none."""
         self.assertIn('no such request', _told('explain', '--route', 'none'))
--- a/tests/ctl/test_burn.py
+++ b/tests/ctl/test_burn.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn."""
+"""Tests of the report on burn rates."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def logs() -> list[str]:
-    """Return twenty requests: ten on time, then ten of which five are not."""
+    """Return log lines of twenty requests: ten on time, then ten of which five are not."""
     found = [ended(f'r{number}', second=number) for number in range(10)]
     found += [ended(f'r{number}', second=number) for number in range(10, 15)]
     found.append(ended('late', second=15, on_time=False))
@@ -28,14 +28,14 @@
 
 
 class BurnTest(TestCase):
-    """Outcomes, windows, and what they use up."""
+    """Outcomes, windows and burn rates."""
 
     def test_outcomes_counted(self) -> None:
         whole = read_burn(logs(), 10)[0].whole
         self.assertEqual(whole.counts, {'on_time': 15, 'late': 1, 'refused': 1, 'failed': 2, 'left': 1})
 
     def test_worst_window(self) -> None:
-        """Half of the second window missed, where a tenth may: it burns five times as fast as allowed."""
+        """Half of the second window missed and a tenth may, which is a burn rate of 5."""
         burn = read_burn(logs(), 10)[0]
         self.assertEqual(burn.route, ALL_ROUTES)
         self.assertAlmostEqual(burn.whole.burn(OBJECTIVE), 2.5)
--- a/tests/ctl/test_caller_search.py
+++ b/tests/ctl/test_caller_search.py
@@ -1,4 +1,4 @@
-"""A caller who has no request id asks whether the first try ran."""
+"""Tests of the search for requests by caller, without their ids."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 
 def logs() -> list[str]:
-    """Return a dealer's long request that was cut, the second try, and others."""
+    """Return log lines of a caller: a request that was cut off, its retry, and others."""
     cut = ended('first', second=10, caller=DEALER, status=502, on_time=False, cause='runner_broke_off')
-    again = ended('second', second=14, caller=DEALER, returned=True, on_time=False)
+    retry = ended('second', second=14, caller=DEALER, returned=True, on_time=False)
     refused = ended(
         'refused', second=15, caller=DEALER, status=503, on_time=False, cause='refused', sends=0, runners=[]
     )
     card = ended('card', second=11, caller=DEALER, route='cards')
-    return [again, card, cut, refused, ended('other', second=10, caller='10.2.0.8')]
+    return [retry, card, cut, refused, ended('other', second=10, caller='10.2.0.8')]
 
 
 def search(**changes: object) -> list[str]:
-    """Return what is found of the dealer's requests."""
+    """Return the requests found for the caller."""
     return find_requests(Search(DEALER, **changes), read_ended(logs()).ended)  # type: ignore[arg-type]
 
 
 class CallerSearchTest(TestCase):
-    """By address, route and time."""
+    """Search by address, route and time."""
 
     def test_in_order_of_time(self) -> None:
         found = search(route='verdicts')
         self.assertEqual([line.split()[2] for line in found], ['first', 'second', 'refused'])
 
     def test_whether_it_ran(self) -> None:
-        """The first may have run at a runner that is named; the second did; the third never will."""
+        """A cut-off request may have run, a whole answer did run, a refused request did not."""
         first, second, refused = search(route='verdicts')
         self.assertIn(f'at {RUNNER}; it may have run', first)
         self.assertIn('it ran, and the whole answer was sent', second)
--- a/tests/ctl/test_content_search.py
+++ b/tests/ctl/test_content_search.py
@@ -1,4 +1,4 @@
-"""A request that comes again under new ids, found by what it asks."""
+"""Tests of the search for sends of one request under several ids, by content id."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def broke(request: str, runner: str, second: int, asks: str = 'c1') -> str:
-    """Return the line of a send that broke off."""
+    """Return the log line of a send that broke off."""
     return line(
         events.ATTEMPT_ENDED,
         second,
@@ -28,7 +28,7 @@
 
 
 def logs() -> list[str]:
-    """Return two attempts with one request, of two sends each, and another request."""
+    """Return log lines of two attempts with one request, of two sends each, and of another request."""
     return [
         broke('again', 'i-9', 12),
         broke('first', 'i-7', 10),
@@ -40,7 +40,7 @@
 
 
 class ContentSearchTest(TestCase):
-    """By content, whatever the request's id."""
+    """Search by content id, over all request ids."""
 
     def test_in_order_of_time(self) -> None:
         *lines, total = find_content('c1', logs())
--- a/tests/ctl/test_loss.py
+++ b/tests/ctl/test_loss.py
@@ -1,4 +1,4 @@
-"""The report on what was lost, and on waits."""
+"""Tests of the reports on lost worth and on wait estimates."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def logs() -> list[str]:
-    """Return eight requests on time, one late, one refused, one left, and a broken one."""
+    """Return log lines: eight requests on time, one late, one refused, one left by its caller, one cut off."""
     found = [ended(f'r{number}', second=number) for number in range(8)]
     found.append(ended('late', second=11, held_ms=700, **LATE))
     found.append(ended('refused', second=12, need='prefill', **REFUSED))
@@ -38,20 +38,20 @@
 
 
 def one(**changes: Any) -> Ended:
-    """Return the only end that a line with ``changes`` tells."""
+    """Return the decoded end of one request, with ``changes``."""
     return read_ended([ended('r', **changes)]).ended[0]
 
 
 def whole_text(read: EndedRead) -> str:
-    """Return the whole report on ``read``, in windows of 10 s."""
+    """Return the whole report as text, in windows of 10 s."""
     return loss_text(find_loss(read.ended, LATE_SHARE), wait_errors(read.ended), read, 10)
 
 
 class LossTest(TestCase):
-    """What was lost, by what, and what it was worth."""
+    """Causes and worth of losses."""
 
     def test_causes(self) -> None:
-        """A late answer keeps a share of its worth, all else loses the whole of it."""
+        """A late answer keeps a share of its worth; all other failures lose the whole."""
         sums = {found.name[0]: found for found in find_loss(read_ended(logs()).ended, LATE_SHARE).by(by_cause)}
         self.assertAlmostEqual(sums['late: waiting at the entry'].worth, 0.7)
         self.assertAlmostEqual(sums['refused, short of prefill'].worth, 1)
@@ -61,21 +61,21 @@
         self.assertEqual(len(sums), 4)
 
     def test_worth_by_size(self) -> None:
-        """A prompt three times the mean counts for more, one that told no size for the mean."""
-        read = read_ended(
+        """A large prompt is worth more than the mean; one without a size is worth the fixed share."""
+        ended_requests = read_ended(
             [
                 ended('small', tokens=900, answer_tokens=10),
                 ended('large', tokens=2900, answer_tokens=10, **LATE),
                 ended('unknown', tokens=0, answer_tokens=0, **REFUSED),
             ],
         )
-        found = find_loss(read.ended, 0)
+        found = find_loss(ended_requests.ended, 0)
         worth = {lost.ended.request: lost.worth for lost in found.lost}
         self.assertAlmostEqual(worth['large'], 0.3 + 0.7 * 3000 / 2000)
         self.assertAlmostEqual(worth['unknown'], 0.3)
 
     def test_late_by(self) -> None:
-        """What took most of the time until the first event is what it is late by."""
+        """The cause is what took most of the time until the first event."""
         self.assertEqual(late_by(one(first_total_ms=900, held_ms=600, work_ms=200)), 'late: waiting at the entry')
         self.assertEqual(late_by(one(first_total_ms=900, held_ms=100, work_ms=700)), 'late: reading')
         self.assertEqual(late_by(one(first_total_ms=900, held_ms=100, work_ms=100)), 'late: waiting at the engine')
@@ -87,7 +87,7 @@
         self.assertEqual(late_by(one(first_total_ms=None, took_ms=900)), 'late: slow answer')
 
     def test_second_refusal(self) -> None:
-        """Whoever is refused again won't come back: it stands apart."""
+        """A refused retry has its own cause, since its caller won't retry again."""
         found = find_loss([one(returned=True, need='slot', **REFUSED)], LATE_SHARE)
         self.assertEqual(found.lost[0].cause, 'refused, short of slot, second time')
 
@@ -96,16 +96,16 @@
         self.assertEqual(bands, ['no prompt', 'under 1k', '1k to 5k', '5k to 20k', '20k and more'])
 
     def test_routes_apart(self) -> None:
-        read = read_ended([*logs(), ended('tag', route='tags', **REFUSED)])
-        names = [found.name for found in find_loss(read.ended, LATE_SHARE).by(by_route)]
+        ended_requests = read_ended([*logs(), ended('tag', route='tags', **REFUSED)])
+        names = [found.name for found in find_loss(ended_requests.ended, LATE_SHARE).by(by_route)]
         self.assertIn(('tags', 'refused'), names)
 
 
 class WaitsTest(TestCase):
-    """Estimates of waits against what they were."""
+    """Errors of wait estimates."""
 
     def test_errors_by_route_and_load(self) -> None:
-        read = read_ended(
+        ended_requests = read_ended(
             [
                 ended('right', wait_expected_ms=300, held_ms=390),
                 ended('longer', wait_expected_ms=300, held_ms=900),
@@ -115,7 +115,7 @@
                 ended('at once'),
             ],
         )
-        errors = wait_errors(read.ended)
+        errors = wait_errors(ended_requests.ended)
         self.assertEqual(
             [(found.load, found.requests) for found in errors], [('0.15 to 0.5 s', 3), ('under 0.15 s', 1)]
         )
@@ -124,37 +124,37 @@
 
 
 class BadLogsTest(TestCase):
-    """Logs that are cut off, mixed up, of other versions, or empty."""
+    """Logs that are truncated, out of order, of other versions, or empty."""
 
     def test_order_does_not_matter(self) -> None:
-        """Lines of several processes come in any order; the figures are the same."""
+        """The order of lines of several processes does not change the figures."""
         self.assertEqual(whole_text(read_ended(logs())), whole_text(read_ended(reversed(logs()))))
 
     def test_cut_off_line_noted(self) -> None:
-        """A log whose last line was cut off counts without it, and says so."""
-        read = read_ended([*logs(), ended('r99').rpartition(',')[0]])
-        self.assertEqual(len(read.ended), len(logs()))
-        self.assertIn('note: 1 left out: no log line, or one that was cut off', read.notes())
+        """A truncated last line is not counted, but noted."""
+        ended_requests = read_ended([*logs(), ended('r99').rpartition(',')[0]])
+        self.assertEqual(len(ended_requests.ended), len(logs()))
+        self.assertIn('note: 1 left out: no log line, or one that was cut off', ended_requests.notes())
 
     def test_other_version_noted(self) -> None:
-        """A line without a field, or with another type, gives no figure."""
-        read = read_ended(
+        """A line with an unknown cause, a wrong type or a bad time is not counted, but noted."""
+        ended_requests = read_ended(
             [*logs(), ended('a', cause='a new cause'), ended('b', held_ms='long'), ended('c', asctime='now')]
         )
-        self.assertEqual(len(read.ended), len(logs()))
-        self.assertEqual(read.left_out['ends of requests as another version writes them'], 3)
+        self.assertEqual(len(ended_requests.ended), len(logs()))
+        self.assertEqual(ended_requests.left_out['ends of requests as another version writes them'], 3)
 
     def test_told_twice_noted(self) -> None:
-        """A log that was joined twice does not count twice."""
-        read = read_ended(logs() * 2)
-        self.assertEqual(len(read.ended), len(logs()))
-        self.assertEqual(read.left_out['ends of requests that were told twice'], len(logs()))
+        """Lines that occur twice are counted once."""
+        ended_requests = read_ended(logs() * 2)
+        self.assertEqual(len(ended_requests.ended), len(logs()))
+        self.assertEqual(ended_requests.left_out['ends of requests that were told twice'], len(logs()))
 
     def test_no_end_noted(self) -> None:
-        """A process that was killed leaves requests without an end; bounded output leaves lines out."""
-        read = read_ended([*logs(), line(events.REQUEST_REFUSED, request='killed', suppressed=7)])
-        self.assertEqual(read.unended, 1)
-        self.assertIn('note: 7 left out: lines that their process left out (bounded output)', read.notes())
+        """Requests without an end, as of a killed process, and suppressed lines are noted."""
+        ended_requests = read_ended([*logs(), line(events.REQUEST_REFUSED, request='killed', suppressed=7)])
+        self.assertEqual(ended_requests.unended, 1)
+        self.assertIn('note: 7 left out: lines that their process left out (bounded output)', ended_requests.notes())
 
     def test_no_requests(self) -> None:
         with TemporaryDirectory() as folder:
@@ -164,7 +164,7 @@
 
 
 class LossReportTest(TestCase):
-    """The text and the page."""
+    """Text and HTML page of the report."""
 
     def test_text(self) -> None:
         text = whole_text(read_ended(logs()))
@@ -172,9 +172,9 @@
         self.assertIn('from second 10: 4 requests', text)
 
     def test_page(self) -> None:
-        """One chart over all routes, one a route; nothing of a log is taken for markup."""
-        read = read_ended([*logs(), ended('x', route='<b>', second=21, **REFUSED)])
-        page = loss_html(find_loss(read.ended, LATE_SHARE), 'a table', 10)
+        """The page has a chart over all routes and one per route; text from logs is escaped."""
+        ended_requests = read_ended([*logs(), ended('x', route='<b>', second=21, **REFUSED)])
+        page = loss_html(find_loss(ended_requests.ended, LATE_SHARE), 'a table', 10)
         self.assertEqual(page.count('<svg'), 3)
         self.assertNotIn('<b>', page)
         self.assertIn('a table', page)
--- a/tests/ctl/test_request_walk.py
+++ b/tests/ctl/test_request_walk.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause."""
+"""Tests of the explanation of one request, by its id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ExplainRequestTest(TestCase):
-    """Three kinds of failed request, and one that is not there."""
+    """Refused, late, interrupted and unknown requests."""
 
     def test_refused(self) -> None:
         logs = [
@@ -23,7 +23,7 @@
         self.assertIn('verdict: refused at once', found)
 
     def test_refused_for_limits(self) -> None:
-        """The runners that were passed over are named, with what they had named."""
+        """The ineligible runners are shown with their reported rate limits."""
         logs = [
             line(events.LIMIT_NAMED, runner=RUNNER, rate=6.8, source='front-2', age_s=0.1),
             line(events.LIMIT_REFUSED, request='r1', runners=[RUNNER], rate=1.4, retry_after_s=0.6),
@@ -34,7 +34,7 @@
         self.assertIn('verdict: refused: its runners name limits', found)
 
     def test_refused_for_rest(self) -> None:
-        """The runners that were passed over are named, with the rest that they had asked for."""
+        """The ineligible runners are shown with the back-off that they asked for."""
         logs = [
             line(events.REST_ASKED, runner=RUNNER, for_s=3, known_s=0),
             line(events.REST_REFUSED, request='r1', runners=[RUNNER], opens_ms=2400, retry_after_s=0.6),
@@ -45,7 +45,7 @@
         self.assertIn('verdict: refused: its runners had asked for rest', found)
 
     def test_refused_as_all_leave(self) -> None:
-        """The cause is told, though no runner was tried."""
+        """The cause is shown although no runner was tried."""
         found = explain_request('r1', [ended('r1', status=503, runners=[], cause='runners_leave')])
         self.assertIn('verdict: refused: all runners of its service leave', found)
 
@@ -55,7 +55,7 @@
         self.assertIn('verdict: served in 120 ms', found)
 
     def test_broken_off(self) -> None:
-        """The lines of other requests on the same runner tell that it was no lone case."""
+        """Failures of other requests on the same runner are shown with their count."""
         broken: dict[str, Any] = {'runner': RUNNER, 'outcome': 'broken', 'cause': 'reset'}
         logs = [
             *(line(events.ATTEMPT_ENDED, request=f'other{number}', **broken) for number in range(3)),
