--- a/packages/sesamepoint/src/sesamepoint/control/decisions.py
+++ b/packages/sesamepoint/src/sesamepoint/control/decisions.py
@@ -1,4 +1,4 @@
-"""The last decisions of this process, for ``sesamectl explain``."""
+"""Bounded history of this process's decisions, for ``sesamectl explain``."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class Decision(NamedTuple):
-    """One choice, what it rested on, and what was turned down.
+    """One decision, its inputs and the alternatives that were rejected.
 
     Parameters
     ----------
     at
-        Seconds on this process's clock.
+        Time of the decision, in seconds on this process's clock.
     kind
-        What was decided about, such as ``role`` or ``refusal``.
+        Type of the decision, such as ``role`` or ``refusal``.
     subject
-        The fleet, runner or class that it concerns.
+        The fleet, runner or request class concerned.
     choice
-        What was chosen, in a line.
+        What was chosen, as one line of text.
     seen
-        The figures it rested on.
+        Numbers that the decision is based on, by name.
     alternatives
-        What else was weighed, with its score.
+        The other options, each with its score.
     version
         Configuration version in force.
     fence
-        Fencing number it was made under; -1 where no lease is needed.
+        Fencing number of the lease held; -1 if the decision needs no lease.
     """
 
     at: float
@@ -44,21 +44,23 @@
 
 
 class Decisions:
-    """A bounded history; a choice that repeats itself is kept once."""
+    """Bounded history of decisions, without consecutive repeats for a subject."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty history."""
         self._kept: deque[Decision] = deque(maxlen=KEPT_DECISIONS)
 
     def add(self, decision: Decision) -> None:
-        """Keep ``decision``, unless it repeats the last one on its subject."""
-        same = (kept for kept in reversed(self._kept) if (kept.kind, kept.subject) == (decision.kind, decision.subject))
-        last = next(same, None)
+        """Add ``decision`` with the current time, unless it repeats the last one of its kind and subject."""
+        earlier = (
+            kept for kept in reversed(self._kept) if (kept.kind, kept.subject) == (decision.kind, decision.subject)
+        )
+        last = next(earlier, None)
         if last is None or (last.choice, last.version) != (decision.choice, decision.version):
             self._kept.append(decision._replace(at=trio.current_time()))
 
     def newest(self) -> tuple[Decision, ...]:
-        """Return the history, newest last."""
+        """Return all decisions in the history, newest last."""
         return tuple(self._kept)
 
 
--- a/packages/sesamepoint/src/sesamepoint/control/follower.py
+++ b/packages/sesamepoint/src/sesamepoint/control/follower.py
@@ -1,4 +1,4 @@
-"""Following the control log: the one way to know what is agreed."""
+"""Reader and writer of the control log, which holds the state that all processes agree on."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 
 
 class Follower:
-    """Folds a deployment's control stream and appends to it.
+    """Folds the records of a deployment's control stream into a state, and appends records.
 
     Parameters
     ----------
     log
         The platform's log.
     deployment
-        Whose stream to follow.
+        Name of the deployment whose stream is followed.
     writer
-        This process's incarnation.
+        Incarnation of this process; it identifies the writer of a record.
     rng
-        For the jitter of repeated calls.
+        Source of the jitter between retries.
     """
 
     def __init__(self, log: LogService, deployment: str, writer: str, rng: Random) -> None:
-        """Start with nothing known."""
+        """Start from the empty state."""
         self.state = State.empty()
         self.writer = writer
         self.changed = Signal()
@@ -68,38 +68,39 @@
 
     @property
     def in_force(self) -> InForce:
-        """What governs, as far as this process knows.
+        """The active configuration in the state folded so far.
 
         Raises
         ------
         NotConfiguredError
-            If nothing was published.
+            If no configuration has been published.
         """
         return in_force(self.state)
 
     @property
     def silence_s(self) -> float:
-        """Seconds since the log last answered a read."""
+        """Seconds since the last successful read of the log."""
         return trio.current_time() - self.heard_at
 
     def records_after(self, offset: int) -> tuple[tuple[int, bytes], ...]:
-        """Return the records behind ``offset``, if none of them is gone."""
+        """Return the records after ``offset``; empty if some are no longer held in memory."""
         if not self._recent or self._recent[0][0] > offset + 1:
             return ()
         return tuple(record for record in self._recent if record[0] > offset)
 
     def learn(self, records: Iterable[tuple[int, bytes]]) -> None:
-        """Fold records that a peer handed over.
+        """Fold records that a peer sent.
 
-        The records are the log's own, so a peer adds nothing of its own;
-        one that does not follow on directly is left for the log to give.
+        Peers forward records of the log unchanged. A record that does not
+        directly follow the last folded one is skipped and read from the log
+        later.
         """
         for offset, payload in records:
             if offset == self.state.offset + 1:
                 self._fold(offset, payload)
 
     async def follow(self) -> None:
-        """Recover, then fold what comes, until cancelled."""
+        """Recover the state, then fold new records until cancelled."""
         while not await self._try(self._recover):
             await trio.lowlevel.checkpoint()
         self.recovered.set()
@@ -107,25 +108,27 @@
         events.log_event(events.STATE_RECOVERED, offset=self.state.offset, version=self.state.version)
         while True:
             await self._try(self._read_on)
-            # Leases are renewed several times a second somewhere. Read one by
-            # one, their records would cost every process, and the log, a
-            # call each; gathered for a second they cost one.
+            # Across the deployment, leases are renewed several times a second.
+            # Reading once a second batches these records: otherwise each
+            # record would cost each process, and the log, a call.
             await trio.sleep(READ_GAP_S)
 
     async def submit(self, body: Body) -> Verdict:
-        """Append ``body`` and return what the fold made of it.
+        """Append ``body`` and return its outcome once it is folded.
 
-        Waits for as long as the log is away; wrap it in a cancel scope to
-        give up. What was given up may still take effect later.
+        Retries for as long as the log is unavailable; wrap the call in a
+        cancel scope to set a timeout. A cancelled record may still take
+        effect later.
         """
-        # One at a time: the fold drops a serial that comes after a later one,
-        # so two at once could lose the one that has to be appended again.
+        # One append at a time: the fold drops a record whose serial is lower
+        # than one already seen, so of two concurrent appends one that has to
+        # be retried could be lost.
         async with self._appending:
             self._serial += 1
             return await self._settle(self._serial, encode(self.writer, self._serial, body))
 
     async def write_snapshot(self, fence: int) -> None:
-        """Append the fold as it stands to the snapshot stream.
+        """Append the current state to the snapshot stream.
 
         Raises
         ------
@@ -135,7 +138,7 @@
         await self._log.append(self._snapshots, encode_snapshot(Snapshot(fence, self.state)))
 
     async def read_to_end(self) -> None:
-        """Fold up to the end that the log has now.
+        """Fold all records up to the current end of the log.
 
         Raises
         ------
@@ -154,9 +157,9 @@
             try:
                 await self._append(payload)
             except PlatformUnavailableError:
-                # The append may have taken effect and only its reply be
-                # lost. Wait for the fold to show it, then append the same
-                # serial again: if both land, the fold counts one.
+                # The append may have succeeded with only its reply lost.
+                # Wait for the record to be folded before appending it again
+                # under the same serial; the fold ignores a duplicate.
                 wait_s = RETRY_S * (1 + self._rng.random())
             await self._wait_for(serial, wait_s)
         return self._verdicts.pop(serial)
@@ -171,7 +174,7 @@
                 await self.changed.wait()
 
     async def _try(self, step: Callable[[], Awaitable[None]]) -> bool:
-        """Take a step that reads the log; tell whether the log answered."""
+        """Run ``step``, which reads the log; return whether the log was available."""
         try:
             await step()
         except PlatformUnavailableError as exc:
@@ -188,17 +191,18 @@
         wanted = self.state.offset + 1
         page = await self._log.read(self._stream, wanted, 0)
         if page.earliest > wanted:
-            # To start from the earliest record kept would be to guess: a
-            # version, a lease or a standing order may have been trimmed.
+            # Starting from the earliest record left could miss a version, a
+            # lease or a pending order that has been trimmed.
             events.log_event(events.HISTORY_LOST, wanted=wanted, earliest=page.earliest)
             raise HistoryLostError(wanted, page.earliest)
         await self.read_to_end()
 
     async def _newest_snapshot(self) -> State | None:
-        """Return the best of the last few snapshots.
+        """Return the state of the best of the last few snapshots.
 
-        A day of them would be tens of megabytes for each process that
-        restarts; a former holder that woke up adds one or two at most.
+        Only the last few are read, since a day of snapshots would be tens of
+        megabytes for each process that restarts. A former lease holder that
+        resumes late adds one or two outdated snapshots at most.
         """
         end = (await self._log.read(self._snapshots, BEYOND_END, 0)).end
         page = await self._log.read(self._snapshots, max(end - LAST_SNAPSHOTS, 0), 0)
@@ -219,7 +223,7 @@
                 self._fold(record.offset, record.payload)
 
     def _fold(self, offset: int, payload: bytes) -> None:
-        before = self.state.version
+        previous_version = self.state.version
         step = apply(self.state, offset, payload)
         self.state = step.state
         self._recent.append((offset, payload))
@@ -227,7 +231,7 @@
             self._verdicts.setdefault(step.record.serial, step.verdict)
         if isinstance(step.verdict, Rejected):
             events.log_event(events.RECORD_REJECTED, offset=offset, code=step.verdict.code, reason=step.verdict.reason)
-        if self.state.version != before:
+        if self.state.version != previous_version:
             events.log_event(events.VERSION_IN_FORCE, version=self.state.version, offset=offset)
         self.changed.set_off()
 
--- a/packages/sesamepoint/src/sesamepoint/control/keeper.py
+++ b/packages/sesamepoint/src/sesamepoint/control/keeper.py
@@ -1,4 +1,4 @@
-"""Writing snapshots of the fold, well inside the log's retention."""
+"""Writer of state snapshots, at intervals well below the log's retention."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 
 class SnapshotKeeper:
-    """Holds the lease on snapshots and writes them while it does."""
+    """Competes for the snapshot lease and writes snapshots while it holds it."""
 
     def __init__(self, follower: Follower) -> None:
-        """Write what ``follower`` folded."""
+        """Write snapshots of the state of ``follower``."""
         self.lease = LeaseKeeper(SNAPSHOT_LEASE, follower)
         self._follower = follower
         self._written_at = float('-inf')
         self._written_offset = 0
 
     async def write(self) -> None:
-        """Write a snapshot whenever one is due, until cancelled."""
+        """Write a snapshot whenever one is due and the lease is held, until cancelled."""
         while True:
             if self.lease.fence is not None and self._due():
                 await self._write(self.lease.fence)
             await trio.sleep(LOOK_S)
 
     def _due(self) -> bool:
-        old = trio.current_time() - self._written_at >= SNAPSHOT_S
-        return old or self._follower.state.offset - self._written_offset >= RECORDS_BETWEEN
+        expired = trio.current_time() - self._written_at >= SNAPSHOT_S
+        return expired or self._follower.state.offset - self._written_offset >= RECORDS_BETWEEN
 
     async def _write(self, fence: int) -> None:
         offset = self._follower.state.offset
--- a/packages/sesamepoint/src/sesamepoint/control/leader.py
+++ b/packages/sesamepoint/src/sesamepoint/control/leader.py
@@ -1,4 +1,4 @@
-"""Acting for a fleet while holding its lease: planning and ordering."""
+"""Planner of a fleet's role changes, active while it holds the fleet's lease."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 class Leader:
     """Plans for one fleet and appends its orders to the control log.
 
-    It plans only while its fold says that it holds the lease. Should that
-    be out of date, its order is void at its offset, for everybody.
+    It plans only while its folded state shows that it holds the lease. If
+    that state is out of date, every process rejects its order by the fencing
+    number.
     """
 
     def __init__(self, fleet: str, follower: Follower, fleets: Fleets, decisions: Decisions, policy: str) -> None:
-        """Plan for ``fleet`` by the registered ``policy``."""
+        """Plan for ``fleet`` with the policy registered as ``policy``."""
         self.lease = LeaseKeeper(fleet, follower)
         self._fleet = fleet
         self._follower = follower
@@ -43,7 +44,7 @@
         self._plan = POLICIES.get(policy).plan
 
     async def lead(self) -> None:
-        """Plan at the preset's interval while holding, until cancelled."""
+        """Plan at the preset's interval whenever the lease is held, until cancelled."""
         while True:
             if self.lease.fence is None:
                 await trio.sleep(IDLE_S)
@@ -51,16 +52,16 @@
                 await self._lead_on()
 
     async def _lead_on(self) -> None:
-        """Plan until the lease is lost; wait for reports first."""
+        """Wait for reports of all runners, then plan until the lease is lost."""
         self._fleets.lead(self._fleet, leading=True)
         await trio.sleep(WARM_UP_S)
         while self.lease.fence is not None:
             try:
-                now = self._follower.in_force
+                active = self._follower.in_force
             except NotConfiguredError:
                 return
-            await self._plan_once(now, self.lease.fence)
-            await trio.sleep(now.preset['plan_interval_s'])
+            await self._plan_once(active, self.lease.fence)
+            await trio.sleep(active.preset['plan_interval_s'])
         self._fleets.lead(self._fleet, leading=False)
 
     async def _plan_once(self, now: InForce, fence: int) -> None:
@@ -74,7 +75,7 @@
         chosen = plan.chosen
         order = Order(self._fleet, chosen.runner, chosen.role, fence, now.version, plan.reason)
         events.log_event(events.ORDER_GIVEN, runner=chosen.runner, role=chosen.role, reason=plan.reason)
-        # An order that waits out an outage would act on figures long gone.
+        # An order that is delayed by an outage would rest on outdated load figures.
         with trio.move_on_after(ORDER_WAIT_S):
             await self._follower.submit(order)
 
@@ -92,23 +93,23 @@
 
     def _runner(self, view: RunnerView) -> RunnerState:
         order = self._follower.state.orders.get(view.name)
-        standing = view.alive and order is not None and not order.done
+        order_pending = view.alive and order is not None and not order.done
         report = view.report
         role = report.load.role if report else ''
         backlog = view.candidate('', urgent=False).load.waiting_tokens if report else 0
-        return RunnerState(view.name, role, view.cfg['availability_zone'], view.usable, standing, backlog)
+        return RunnerState(view.name, role, view.cfg['availability_zone'], view.usable, order_pending, backlog)
 
     def _decision(self, view: FleetView, plan: Plan, version: int, fence: int) -> Decision:
         counts = {f'runners_{role}': float(count) for role, count in role_counts(view).items()}
-        seen = {
+        inputs = {
             **counts,
             'main_short_per_s': view.offered.main_short.requests,
             'main_long_per_s': view.offered.main_long.requests,
             'small_long_per_s': view.offered.small_long.requests,
         }
-        others = tuple((f'{other.runner} to {other.role}', other.score) for other in plan.alternatives)
+        alternatives = tuple((f'{other.runner} to {other.role}', other.score) for other in plan.alternatives)
         choice = plan.reason if plan.chosen else f'no change: {plan.reason}'
-        return Decision(0, 'role', self._fleet, choice, seen, others, version, fence)
+        return Decision(0, 'role', self._fleet, choice, inputs, alternatives, version, fence)
 
 
 __all__ = ('Leader',)
--- a/packages/sesamepoint/src/sesamepoint/control/leaders.py
+++ b/packages/sesamepoint/src/sesamepoint/control/leaders.py
@@ -1,4 +1,4 @@
-"""One leader per fleet of engines, as the configuration names them."""
+"""Supervised leaders, one for each engine fleet of the configuration."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Leaders:
-    """Starts a leader for each fleet of engines; leases tell which act."""
+    """Runs a leader for each engine fleet; a leader acts only while it holds the fleet's lease."""
 
     def __init__(self, follower: Follower, fleets: Fleets, decisions: Decisions, policy: str = 'default') -> None:
-        """Lead nothing yet."""
+        """Start without leaders."""
         self._follower = follower
         self._fleets = fleets
         self._decisions = decisions
@@ -28,7 +28,7 @@
         self._led: dict[str, trio.CancelScope] = {}
 
     async def keep(self) -> None:
-        """Follow the configuration until cancelled."""
+        """Start and stop leaders as the configuration changes, until cancelled."""
         self._led.clear()
         async with trio.open_nursery() as nursery:
             while True:
@@ -41,8 +41,8 @@
         except NotConfiguredError:
             return
         wanted = {name for name, fleet in fleets.items() if fleet['kind'] == 'engine'}
-        for gone in set(self._led) - wanted:
-            self._led.pop(gone).cancel()
+        for removed in set(self._led) - wanted:
+            self._led.pop(removed).cancel()
         for name in sorted(wanted - set(self._led)):
             self._led[name] = trio.CancelScope()
             nursery.start_soon(self._run, name, self._led[name])
--- a/packages/sesamepoint/src/sesamepoint/control/lease.py
+++ b/packages/sesamepoint/src/sesamepoint/control/lease.py
@@ -1,4 +1,4 @@
-"""Taking and keeping a lease through the control log."""
+"""Acquisition and renewal of leases through the control log."""
 
 from __future__ import annotations
 
@@ -23,41 +23,42 @@
 
 
 class LeaseKeeper:
-    """Claims a lease that is free or silent, and renews it while it holds.
+    """Claims a lease that is free or no longer renewed, and renews it while holding it.
 
-    The clock only decides when to try; the fold decides who holds. A claim
-    that was overtaken by a renewal is void, so a slow reader that thinks
-    the holder silent does no harm.
+    The local clock only decides when to send a claim; the folded control log
+    decides who holds the lease. A claim that is appended after a renewal is
+    rejected, so a process that reads the log late and takes the holder for
+    failed does no harm.
 
     Parameters
     ----------
     name
-        The lease: a fleet's name, or one of the system's own.
+        Name of the lease: that of a fleet, or a system lease.
     follower
-        The control log's fold; its writer is the holder.
+        The control log's follower; its writer is the lease holder.
     """
 
     def __init__(self, name: str, follower: Follower) -> None:
-        """Hold nothing at first."""
+        """Start without the lease."""
         self.name = name
         self._follower = follower
         self._held = False
 
     @property
     def lease(self) -> Lease | None:
-        """The lease as the fold knows it."""
+        """The lease in the folded state; None if it was never claimed."""
         return self._follower.state.leases.get(self.name)
 
     @property
     def fence(self) -> int | None:
-        """The fencing number, while this process holds the lease."""
+        """The fencing number while this process holds the lease, else None."""
         lease = self.lease
         if lease is None or lease.holder != self._follower.writer:
             return None
         return lease.fence
 
     async def keep(self) -> None:
-        """Claim and renew until cancelled."""
+        """Claim and renew the lease until cancelled."""
         await self._follower.recovered.wait()
         while True:
             self._note()
@@ -72,7 +73,8 @@
         await trio.sleep(self._turn_s())
         if before is not None:
             await trio.sleep(SILENT_S)
-        # A holder whose renewals this process could not read is not silent.
+        # Claim only after recent reads: if the log could not be read, the
+        # holder may have renewed the lease unseen.
         if self.lease == before and self._follower.silence_s < HEARD_S:
             last_seen = NEVER if before is None else before.renewed
             await self._follower.submit(ClaimLease(self.name, self._follower.writer, last_seen))
@@ -83,10 +85,11 @@
             await self._follower.submit(RenewLease(self.name, fence))
 
     def _turn_s(self) -> float:
-        """Seconds to let others go first.
+        """Return the delay before a claim, in seconds.
 
-        They differ per process and lease: the leases of many fleets spread
-        over the entries, and two claims of one lease seldom meet.
+        It is a hash of the process and the lease, so that the leases of many
+        fleets spread over the instances and two claims of one lease rarely
+        collide.
         """
         text = f'{self.name} {self._follower.writer}'.encode()
         rank = int.from_bytes(hashlib.blake2b(text, digest_size=2).digest())
--- a/packages/sesamepoint/src/sesamepoint/control/signal.py
+++ b/packages/sesamepoint/src/sesamepoint/control/signal.py
@@ -1,4 +1,4 @@
-"""A condition that many tasks wait for, again and again."""
+"""Notification that many tasks can wait for repeatedly."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Signal:
-    """Wakes all who wait each time it is set off."""
+    """Wakes all waiting tasks at each notification."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Start without waiting tasks."""
         self._event = trio.Event()
 
     def set_off(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that are waiting now."""
         self._event.set()
         self._event = trio.Event()
 
     async def wait(self) -> None:
-        """Wait for the next time."""
+        """Wait for the next notification."""
         await self._event.wait()
 
     async def wait_at_most(self, timeout_s: float) -> bool:
-        """Wait for the next time or ``timeout_s``; tell whether it came."""
+        """Wait for the next notification, at most ``timeout_s``; return whether it came."""
         event = self._event
         with trio.move_on_after(timeout_s):
             await event.wait()
