--- a/packages/sesamepoint/src/sesamepoint/entry/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/admission.py
@@ -1,4 +1,4 @@
-"""What an entry lets in: account limits, and reserves of the deadline."""
+"""Admission of requests by account rate limits and deadline margins."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Admission:
-    """Decides before any runner is looked at, and learns from what came of it."""
+    """Checks account limits before a runner is chosen and adapts deadline margins to outcomes."""
 
     def __init__(self, follower: Follower, fleets: Fleets) -> None:
         """Start without history."""
@@ -30,23 +30,23 @@
         self._margins: defaultdict[tuple[str, bool], Margin] = defaultdict(Margin)
 
     def over_limit(self, req: CallerRequest) -> NotRun | None:
-        """Return the refusal of a request that is over its account's rate."""
+        """Return a refusal if the request exceeds its account's rate limit, else None."""
         rate = self._follower.in_force.preset['account_rate']
         entries = self._fleets.entries(req.fleet)
         wait_s = self._accounts.wait_s(trio.current_time(), req.account, rate, entries)
         if not wait_s:
             return None
-        return NotRun(ACCOUNT_LIMIT, 'send fewer, or ask for a higher account_rate', wait_s)
+        return NotRun(ACCOUNT_LIMIT, 'send fewer requests, or ask for a higher account_rate', wait_s)
 
     def deadline_share(self, req: CallerRequest) -> float:
-        """Return the part of its time in which a request must be done."""
+        """Return the share of its timeout within which a request must be expected to finish."""
         share = 1 - self._margin(req).share
         if req.job.urgent:
             return share
         return share * self._follower.in_force.preset['small_deadline_share']
 
     def observe(self, req: CallerRequest, *, late: bool) -> None:
-        """Learn from a request that was let in."""
+        """Update the deadline margin with the outcome of an admitted request."""
         self._margin(req).observe(late=late)
 
     def _margin(self, req: CallerRequest) -> Margin:
--- a/packages/sesamepoint/src/sesamepoint/entry/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one runner, resumed over as many connections as needed."""
+"""Attempt at one runner, resumed on new connections when one is lost."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended, as the entry could find out.
+    """Outcome of an attempt, as far as this instance knows it.
 
-    ``released`` counts the chunks that were handed on.
+    ``released`` is the number of chunks passed on to the caller.
     """
 
     end: End
@@ -35,7 +35,7 @@
 
 
 class EntryAttempt:
-    """Sends one attempt and listens until it is settled."""
+    """Sends one attempt to a runner and receives its frames until the outcome is known."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         req: CallerRequest,
         emit: Callable[[bytes], Awaitable[None]],
     ) -> None:
-        """Aim at ``view``; chunks go to ``emit`` in order, once each."""
+        """Prepare an attempt at the runner of ``view``; chunks go to ``emit`` in order, once each."""
         self._name = name
         self._view = view
         self._req = req
@@ -54,7 +54,7 @@
         self._assembler = Assembler()
 
     async def run(self, deadline: float) -> AttemptEnd:
-        """Run to the end, or to ``deadline`` on trio's clock."""
+        """Run until the attempt ends, or until ``deadline`` on trio's clock."""
         self._view.begin(self._name, self._req.job)
         try:
             return await self._until(deadline)
@@ -73,8 +73,8 @@
     async def _listen(self, deadline: float) -> AttemptEnd:
         for connection in range(MAX_CONNECTIONS):
             if connection:
-                # The agent still has the attempt: ask it to go on from the
-                # chunk that is missing. That is no second run.
+                # The agent keeps the attempt: ask it to continue from the
+                # first missing chunk. This does not start a second run.
                 events.log_event(events.ATTEMPT_RESUMED, attempt=self._name, from_chunk=self._assembler.released)
                 await trio.sleep(RECONNECT_S * connection)
             generation = self._link.generation
@@ -85,8 +85,8 @@
         return await self._give_up(End.unknown, 'runner_lost')
 
     async def _stream(self, deadline: float, *, resume: bool) -> AttemptEnd:
-        left_s = deadline - trio.current_time()
-        req = RunRequest(self._name, self._incarnation, self._assembler.released, resume, left_s, self._req.job)
+        remaining_s = deadline - trio.current_time()
+        req = RunRequest(self._name, self._incarnation, self._assembler.released, resume, remaining_s, self._req.job)
         async with self._link.run(req) as frames:
             while True:
                 frame = await self._next_frame(frames)
@@ -98,7 +98,7 @@
     async def _next_frame(self, frames: AsyncIterator[Frame]) -> Frame:
         with trio.move_on_after(SILENCE_S):
             return await anext(frames)
-        raise LinkLostError(self._view.cfg['agent'], f'silent for {SILENCE_S} s')
+        raise LinkLostError(self._view.cfg['agent'], f'no frame received for {SILENCE_S} s')
 
     async def _release(self, frame: Frame) -> None:
         for chunk in self._assembler.push(frame.number, frame.payload):
@@ -110,11 +110,15 @@
         released = self._assembler.released
         self._assembler.finish(frame.number)
         if frame.end is End.answered and not self._assembler.complete:
-            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks came')
+            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks received')
         return AttemptEnd(frame.end, frame.code, released)
 
     async def _give_up(self, end: End, code: str) -> AttemptEnd:
-        """Stop the attempt; take the agent's word for what it came to."""
+        """Cancel the attempt and return its outcome.
+
+        It is ``not_started`` if the agent says so, ``unknown`` if the agent
+        does not reply, and ``end`` otherwise.
+        """
         generation = self._link.generation
         with trio.move_on_after(CANCEL_WAIT_S):
             try:
--- a/packages/sesamepoint/src/sesamepoint/entry/entry.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/entry.py
@@ -1,4 +1,4 @@
-"""Serving one request: choose, attempt, and decide what comes after."""
+"""Server of callers' requests: choice of a runner, attempts and retries."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
 
 
 class Entry:
-    """Answers callers from the fleets.
+    """Serves callers' requests with the runners of the fleets.
 
     Parameters
     ----------
     zone
-        Availability zone it stands in.
+        Availability zone of this instance.
     follower
-        The control log's fold.
+        Follower of the control log.
     fleets
         The runners.
     rng
-        For sampling.
+        Source of random numbers for sampling runners and for attempt names.
     policy
         Registered name of the policy, for routing and planning.
     """
 
     def __init__(self, zone: str, follower: Follower, fleets: Fleets, rng: Random, policy: str = 'default') -> None:
-        """Start idle."""
+        """Start without requests."""
         self.fleets = fleets
         self.follower = follower
         self.decisions = Decisions()
@@ -74,7 +74,7 @@
         Returns
         -------
         Outcome
-            What became of it; ``NotRun`` only if no upstream ever saw it.
+            The outcome; ``NotRun`` only if no upstream ever received the request.
         """
         self.in_flight += 1
         self._measure(req)
@@ -87,10 +87,10 @@
         return outcome
 
     async def stop(self) -> None:
-        """Take nothing new and wait until all in flight is answered.
+        """Reject new requests and wait until all requests in flight have ended.
 
-        That includes runs under a key whose callers have gone: they may come
-        back for the answer.
+        This includes keyed requests whose callers have disconnected, since
+        they may retry to fetch the answer.
         """
         self.leaving = True
         while self.in_flight or self.keyed.running:
@@ -98,7 +98,7 @@
 
     async def _serve(self, req: CallerRequest, emit: Callable[[bytes], Awaitable[None]]) -> Outcome:
         if self.leaving:
-            return NotRun('leaving', 'send it again, to another entry', MIN_RETRY_AFTER_S)
+            return NotRun('leaving', 'send it again, to another instance', MIN_RETRY_AFTER_S)
         refusal = self._admission.over_limit(req)
         if refusal is not None:
             self._explain_refusal(req, refusal.code, 0, ())
@@ -111,27 +111,28 @@
         prompt_tokens = req.job.prompt_tokens
         if self.fleets.holds(req.fleet, req.job.prefix):
             prompt_tokens -= req.job.prefix_tokens
-        work = Demand(1, prompt_tokens, req.job.output_tokens, req.timeout_s)
-        self.fleets.measure(req.fleet, work, urgent=req.job.urgent)
+        demand = Demand(1, prompt_tokens, req.job.output_tokens, req.timeout_s)
+        self.fleets.measure(req.fleet, demand, urgent=req.job.urgent)
 
     async def _attempts(self, req: CallerRequest, emit: Callable[[bytes], Awaitable[None]]) -> Outcome:
         self._budget.earn(self.follower.in_force.preset['retry_share'])
         deadline = trio.current_time() + req.timeout_s
-        tried: list[str] = []
-        ran: Outcome | None = None
+        excluded: list[str] = []
+        earlier_outcome: Outcome | None = None
         while True:
-            choice = self._pick(req, deadline, tried)
+            choice = self._pick(req, deadline, excluded)
             if isinstance(choice, NotRun):
-                return ran or choice
-            held: list[bytes] = []
-            ended = await self._attempt(choice, req, deadline, emit if req.streamed else _keep_in(held))
+                return earlier_outcome or choice
+            chunks: list[bytes] = []
+            ended = await self._attempt(choice, req, deadline, emit if req.streamed else _keep_in(chunks))
             if not self._may_go_on(req, ended):
-                return await self._conclude(ended, held, emit, ran)
+                return await self._conclude(ended, chunks, emit, earlier_outcome)
             if ended.end is not End.not_started:
-                # It may have run. That a later attempt did not is no reason
-                # to tell the caller "not run", or to free its key.
-                ran = _outcome(ended)
-            tried.extend(_spent(choice, ended))
+                # The request may have run. If a later attempt is not started,
+                # the outcome must still not be "not run": that would release
+                # the caller's key.
+                earlier_outcome = _outcome(ended)
+            excluded.extend(_spent(choice, ended))
 
     async def _attempt(
         self,
@@ -151,8 +152,8 @@
 
     def _pick(self, req: CallerRequest, deadline: float, tried: list[str]) -> Choice | NotRun:
         job = req.job
-        left_s = deadline - trio.current_time()
-        need = Need(job.prompt_tokens, job.output_tokens, left_s, job.urgent, job.prefix, job.prefix_tokens)
+        remaining_s = deadline - trio.current_time()
+        need = Need(job.prompt_tokens, job.output_tokens, remaining_s, job.urgent, job.prefix, job.prefix_tokens)
         candidates = self.fleets.candidates(req.fleet, self._zone, tried, urgent=req.job.urgent)
         if not candidates:
             self._explain_refusal(req, 'no_runner', 0, ())
@@ -160,7 +161,7 @@
         choice = self._policy.choose(candidates, need, self._rng)
         late_s = choice.estimate.finish_s - need.timeout_s * self._admission.deadline_share(req)
         if late_s > 0 and not self._policy.admits_late:
-            # Let in, it would be late, and would make others late as well.
+            # The request would miss its deadline and delay others past theirs.
             self._explain_refusal(req, 'deadline_unreachable', choice.estimate.finish_s, choice.alternatives)
             return NotRun(
                 'deadline_unreachable', 'send it again later, or with more time', max(late_s, MIN_RETRY_AFTER_S)
@@ -174,18 +175,18 @@
         finish_s: float,
         alternatives: tuple[tuple[str, float], ...],
     ) -> None:
-        seen = {'finish_s': finish_s, 'timeout_s': req.timeout_s, 'prompt_tokens': float(req.job.prompt_tokens)}
+        inputs = {'finish_s': finish_s, 'timeout_s': req.timeout_s, 'prompt_tokens': float(req.job.prompt_tokens)}
         subject = f'{req.fleet} {"main" if req.job.urgent else "small"}'
         version = self.follower.state.version
-        self.decisions.add(Decision(0, 'refusal', subject, code, seen, alternatives, version, fence=-1))
+        self.decisions.add(Decision(0, 'refusal', subject, code, inputs, alternatives, version, fence=-1))
 
     def _may_go_on(self, req: CallerRequest, ended: AttemptEnd) -> bool:
         if ended.end in {End.answered, End.cancelled} or ended.code == DEADLINE_PASSED:
             return False
         if ended.released and req.streamed:
             return False
-        proven = ended.end is End.not_started
-        return (proven or req.repeatable) and self._budget.spend()
+        not_started = ended.end is End.not_started
+        return (not_started or req.repeatable) and self._budget.spend()
 
     async def _conclude(
         self,
@@ -202,9 +203,10 @@
 
 
 def _spent(choice: Choice, ended: AttemptEnd) -> tuple[str, ...]:
-    """Return the runners not to try again.
+    """Return the runners to exclude from further attempts.
 
-    One that was asked over a dead connection is none the worse for it.
+    A runner that the attempt never reached, because the connection was dead,
+    may be tried again.
     """
     return () if ended.code == NEVER_ARRIVED else (choice.runner,)
 
@@ -215,7 +217,7 @@
     if ended.end is End.not_started:
         return NotRun(ended.code, 'send it again later', RETRY_AFTER_S)
     if ended.end is End.unknown:
-        return Unknown(ended.code, 'look whether it took effect before sending it again')
+        return Unknown(ended.code, 'check whether it took effect before sending it again')
     return Failed(ended.code, 'send it again, with more time if the deadline passed')
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/fleets.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/fleets.py
@@ -1,4 +1,4 @@
-"""The runners of the configuration in force, and links to them."""
+"""Runners of the active configuration, with links and demand meters."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Fleets:
-    """Views of all runners, kept in step with the configuration."""
+    """Views of the runners that this instance uses, updated as the configuration changes."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._watches: dict[str, trio.CancelScope] = {}
 
     def fleet(self, name: str) -> FleetConfig | None:
-        """Return a fleet's configuration, if it has any."""
+        """Return the configuration of a fleet; None if it is not configured."""
         try:
             cfg = self._follower.in_force.configuration
         except NotConfiguredError:
@@ -60,7 +60,7 @@
         return cfg['fleets'].get(name)
 
     def fleet_of_model(self, model: str) -> str | None:
-        """Return the fleet that serves ``model``."""
+        """Return the name of the fleet that serves ``model``; None if there is none."""
         try:
             fleets = self._follower.in_force.configuration['fleets']
         except NotConfiguredError:
@@ -68,36 +68,37 @@
         return next((name for name, fleet in fleets.items() if model in fleet['models']), None)
 
     def candidates(self, fleet: str, zone: str, without: Sequence[str], *, urgent: bool) -> list[Candidate]:
-        """Return the runners of ``fleet`` that may take new work."""
-        usable = (view for view in self.views.values() if view.usable and view.cfg['fleet'] == fleet)
-        return [view.candidate(zone, urgent=urgent) for view in usable if view.name not in without]
+        """Return the eligible runners of ``fleet`` that are not excluded."""
+        eligible = (view for view in self.views.values() if view.usable and view.cfg['fleet'] == fleet)
+        return [view.candidate(zone, urgent=urgent) for view in eligible if view.name not in without]
 
     def holds(self, fleet: str, prefix: str) -> bool:
-        """Tell whether some runner of a fleet has a prefix in its cache."""
+        """Return whether any runner of ``fleet`` reports ``prefix`` in its cache."""
         return any(prefix in report.load.prefixes for report in self._reports(fleet))
 
     def entries(self, fleet: str) -> float:
-        """Return how many entries there are, by what agents hear."""
-        heard = [report.offered.entries for report in self._reports(fleet)]
-        return sum(heard) / len(heard) if heard else 1
+        """Return the mean number of instances that the agents of ``fleet`` report, or 1 without reports."""
+        counts = [report.offered.entries for report in self._reports(fleet)]
+        return sum(counts) / len(counts) if counts else 1
 
     def offered(self, fleet: str) -> Offered:
-        """Return what this entry's callers asked of a fleet, per second."""
+        """Return the demand of this instance's callers on ``fleet``, per second."""
         return self.meters[fleet].read(trio.current_time(), self._follower.in_force.preset['horizon_s'])
 
     def measure(self, fleet: str, work: Demand, *, urgent: bool) -> None:
-        """Count what a caller asked for."""
+        """Add the demand of one request on ``fleet``."""
         horizon_s = self._follower.in_force.preset['horizon_s']
         self.meters[fleet].add(trio.current_time(), work, horizon_s, urgent=urgent)
 
     def lead(self, fleet: str, *, leading: bool) -> None:
-        """Know a fleet whole while this process plans for it."""
+        """Set whether this process plans for ``fleet``; if so, it uses all its runners."""
         (self.led.add if leading else self.led.discard)(fleet)
         self._follower.changed.set_off()
 
     async def keep(self) -> None:
-        """Follow the configuration until cancelled."""
-        # After a restart the tasks that beat are gone with the former nursery.
+        """Update the views as the configuration changes, until cancelled."""
+        # After a restart of this task, the heartbeat tasks ended with the old
+        # nursery, so the views are created anew.
         for name in tuple(self.views):
             self._drop(name)
         self._known_for = None
@@ -107,10 +108,11 @@
                 await self._follower.changed.wait()
 
     async def watch_instances(self) -> None:
-        """Follow the platform's list until cancelled.
+        """Poll the platform's instance list until cancelled.
 
-        The list lags and may be away; then the last one stands. An agent
-        that leaves says so itself on its next beat, whatever the list says.
+        The list lags and may be unavailable, in which case the last one
+        remains in use. A draining agent also reports this itself in its next
+        heartbeat reply, independently of the list.
         """
         while True:
             try:
@@ -118,9 +120,9 @@
             except PlatformUnavailableError:
                 listed = None
             if listed is not None:
-                leaving = {found.address for found in listed if found.leaving}
+                draining = {found.address for found in listed if found.leaving}
                 for view in self.views.values():
-                    view.platform_leaving = view.cfg['agent'] in leaving
+                    view.platform_leaving = view.cfg['agent'] in draining
             await trio.sleep(LIST_INTERVAL_S)
 
     def _reports(self, fleet: str) -> list[LoadReport]:
@@ -128,8 +130,8 @@
         return [view.report for view in views if view.report is not None]
 
     def _adapt(self, nursery: trio.Nursery) -> None:
-        # Most records are renewals. To rank all runners anew for each would
-        # cost more than to fold it.
+        # Most records are lease renewals. Choosing the subsets again for each
+        # would cost more than folding the record.
         known_for = (self._follower.state.version, frozenset(self.led))
         if known_for == self._known_for:
             return
@@ -150,9 +152,10 @@
         for fleet in fleets:
             names = sorted(name for name, cfg in runners.items() if cfg['fleet'] == fleet)
             chosen = names if fleet in self.led else subset(self._follower.writer, names)
-            # An agent hears some of the entries only. Each gives its word
-            # for those that the agent does not hear, so that the mean over
-            # the fleet's agents is the sum over all entries.
+            # An agent receives heartbeats of some instances only. Each
+            # instance scales its demand up to cover those that the agent
+            # doesn't receive, so that the mean over the fleet's agents is the
+            # sum over all instances.
             self.scales[fleet] = len(names) / len(chosen)
             known.update(chosen)
         return known
@@ -170,7 +173,7 @@
         nursery.start_soon(self._watch, view, self._watches[name])
 
     def _drop(self, name: str) -> None:
-        # Attempts under way hold the view and its link themselves.
+        # Running attempts keep their own references to the view and its link.
         self.views.pop(name)
         self._watches.pop(name).cancel()
 
@@ -183,7 +186,7 @@
                 await trio.sleep(self._beat_interval_s() * (1 + self._rng.random() / 2))
 
     def _beat_interval_s(self) -> float:
-        """Return an interval that keeps all beats within their budget."""
+        """Return the interval, in seconds, that keeps the heartbeats of all runners below the maximum rate."""
         return max(BEAT_INTERVAL_S, len(self.views) / BEATS_PER_S)
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/http.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/http.py
@@ -1,4 +1,4 @@
-"""The ASGI application that callers reach."""
+"""ASGI application for callers."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class CallerApp:
-    """Serves callers; health checks are on the metrics address."""
+    """Serves callers' requests; health checks are served on the metrics address."""
 
     def __init__(self, entry: Entry) -> None:
-        """Serve from ``entry``."""
+        """Serve requests with ``entry``."""
         self._entry = entry
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -52,10 +52,10 @@
             return parse_completion(raw, self._entry.fleets)
         if raw.path.startswith(SERVICES_PATH):
             return parse_plain(raw, self._entry.fleets)
-        raise BadRequestError('no_such_path', f'nothing answers {raw.method} {raw.path}', 'see docs/API.md')
+        raise BadRequestError('no_such_path', f'there is no endpoint {raw.method} {raw.path}', 'see docs/API.md')
 
     async def _serve_while_heard(self, req: CallerRequest, receive: Receive, send: Send) -> None:
-        """Serve, and stop serving when the caller hangs up."""
+        """Serve the request; cancel it when the caller disconnects."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, receive, nursery.cancel_scope)
             await _REPLIES[_reply_kind(req)](self._entry, req, send)
@@ -131,7 +131,9 @@
         body += message.get('body', b'')
         more = message.get('more_body', False)
         if len(body) > limits.MAX_BODY_BYTES:
-            raise BadRequestError('body_too_large', f'the body is over {limits.MAX_BODY_BYTES} bytes', 'send less')
+            raise BadRequestError(
+                'body_too_large', f'the body is over {limits.MAX_BODY_BYTES} bytes', 'send a smaller body'
+            )
     headers = {name.decode('latin-1').lower(): text.decode('latin-1') for name, text in scope['headers']}
     return RawRequest(scope['method'], scope['path'], headers, bytes(body))
 
--- a/packages/sesamepoint/src/sesamepoint/entry/keyed.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: at most one run, one answer for all."""
+"""Requests with an idempotency key: at most one run, its answer replayed to retries."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class _Run:
-    """One run, which goes on when its caller has gone."""
+    """One run, which continues after its caller disconnects."""
 
     def __init__(self) -> None:
         self.chunks: list[bytes] = []
@@ -46,30 +46,30 @@
         self.receiver = channels[1]
 
     async def keep(self, chunk: bytes) -> None:
-        """Keep a chunk and hand it to the caller, if it is still there."""
+        """Store a chunk and pass it to the caller's channel."""
         await trio.lowlevel.checkpoint()
         self.chunks.append(chunk)
         self._sender.send_nowait(chunk)
 
     def finish(self, outcome: Outcome) -> None:
-        """Settle the outcome."""
+        """Set the outcome and close the caller's channel."""
         self.outcome = outcome
         self._sender.close()
 
 
 class KeyedRequests:
-    """Claims keys, runs what was granted, replays what is kept.
+    """Claims keys, runs requests whose claim is granted and replays stored answers.
 
     Parameters
     ----------
     asker
-        The way to the homes.
+        Client of the coordinators of keys.
     serve
-        Serves a request without regard to its key.
+        Serves a request, ignoring its key.
     rng
-        For the identities of owners.
+        Source of random numbers for the ids of owners.
     ended
-        Set off when a run ends.
+        Notified when a run ends.
     """
 
     def __init__(self, asker: KeyAsker, serve: Serve, rng: Random, ended: Signal) -> None:
@@ -82,11 +82,11 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Hold the nursery of the runs.
+        """Hold the nursery of the runs, until cancelled.
 
-        A caller that loses its connection sends its key again and wants the
-        answer. Were its run to end with the connection, it would be told
-        `unknown` about a booking that nothing stopped from being made.
+        A caller that loses its connection retries with its key to fetch the
+        answer. If the run ended with the connection, the retry would get the
+        outcome `unknown`, although the request may have taken effect.
         """
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -112,9 +112,9 @@
         started = trio.current_time()
         claim = claim_of(req, new_id(self._rng))
         reply = await self._asker.claim(claim, req.timeout_s)
-        left_s = started + req.timeout_s - trio.current_time()
-        if reply.standing is Standing.granted and left_s > 0:
-            outcome = await self._serve(req._replace(timeout_s=left_s), run.keep)
+        remaining_s = started + req.timeout_s - trio.current_time()
+        if reply.standing is Standing.granted and remaining_s > 0:
+            outcome = await self._serve(req._replace(timeout_s=remaining_s), run.keep)
             await self._settle(claim, outcome, run.chunks)
         elif reply.standing in {Standing.granted, Standing.unavailable}:
             outcome = NotRun('keys_unavailable', 'send it again with the same key', RETRY_AFTER_S)
@@ -146,7 +146,7 @@
         return Answered(len(reply.chunks), late=False)
     if reply.standing is Standing.done and reply.end is End.failed:
         return Failed(reply.code, 'use a new key to run it again')
-    return Unknown('key_unknown', 'look whether it took effect before using a new key')
+    return Unknown('key_unknown', 'check whether it took effect before using a new key')
 
 
 __all__ = ('KeyedRequests',)
--- a/packages/sesamepoint/src/sesamepoint/entry/parse.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/parse.py
@@ -1,4 +1,4 @@
-"""Turning a caller's HTTP request into a checked one."""
+"""Parsing and validation of callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class BadRequestError(SesamepointError):
-    """A request that reaches no upstream."""
+    """Raised for an invalid request; it is not sent to any upstream."""
 
     def __init__(self, code: str, found: str, remedy: str) -> None:
-        """Keep the machine-readable code beside the message."""
+        """Store the machine-readable code along with the message."""
         super().__init__(found, remedy)
         self.code = code
 
 
 class RawRequest(NamedTuple):
-    """A request as HTTP gave it; header names are lower case."""
+    """HTTP request before validation; header names are in lower case."""
 
     method: str
     path: str
@@ -45,7 +45,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """The fields of an OpenAI-style completion request that are read."""
+    """Fields of an OpenAI-style completion request that are used here."""
 
     model: str
     prompt: str
@@ -54,12 +54,12 @@
 
 
 def parse_completion(raw: RawRequest, fleets: Fleets) -> CallerRequest:
-    """Check a completion request.
+    """Parse and validate a completion request.
 
     Raises
     ------
     BadRequestError
-        With a code and the remedy, on the first thing that is wrong.
+        For the first fault found, with a code and a remedy.
     """
     body = _completion_body(raw.body)
     fleet = fleets.fleet_of_model(body.model)
@@ -78,12 +78,12 @@
 
 
 def parse_plain(raw: RawRequest, fleets: Fleets) -> CallerRequest:
-    """Check a call to a plain service: ``/services/FLEET/PATH``.
+    """Parse and validate a call to a plain service: ``/services/FLEET/PATH``.
 
     Raises
     ------
     BadRequestError
-        With a code and the remedy, on the first thing that is wrong.
+        For the first fault found, with a code and a remedy.
     """
     name, slash, path = raw.path.removeprefix(SERVICES_PATH).partition('/')
     fleet = fleets.fleet(name)
@@ -98,7 +98,7 @@
     try:
         return msgspec.json.decode(body, type=CompletionBody)
     except msgspec.ValidationError as exc:
-        raise BadRequestError('bad_field', str(exc), 'mend that field') from exc
+        raise BadRequestError('bad_field', str(exc), 'correct that field') from exc
     except msgspec.DecodeError as exc:
         raise BadRequestError('not_json', f'the body is not JSON: {exc}', 'send a JSON object') from exc
 
@@ -122,7 +122,7 @@
     except ValueError as exc:
         raise BadRequestError('bad_timeout', f'x-timeout-ms is {text!r}', 'send whole milliseconds') from exc
     if timeout_s <= 0:
-        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the time that is left, above 0')
+        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the remaining time, above 0')
     return min(timeout_s, limits.MAX_TIMEOUT_S)
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/render.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/render.py
@@ -1,4 +1,4 @@
-"""What callers see: status codes and bodies."""
+"""Status codes and bodies of the HTTP replies to callers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Rendered(NamedTuple):
-    """A whole HTTP reply."""
+    """Complete HTTP reply."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -42,20 +42,20 @@
 
 
 def render_bad(exc: BadRequestError) -> Rendered:
-    """Return the reply for a request that failed its checks."""
+    """Return the reply for an invalid request."""
     body = _error('not_run', exc.code, str(exc))
     return Rendered(_BAD_STATUS.get(exc.code, STATUS_BAD), ((b'content-type', JSON_TYPE),), body)
 
 
 def error_body(outcome: NotRun | Unknown | Failed) -> bytes:
-    """Return the error object that bodies and streams share."""
+    """Return the JSON error object, used in both bodies and streams."""
     message = f'{outcome.code}; {outcome.remedy}'
     retry_after_s = outcome.retry_after_s if isinstance(outcome, NotRun) else None
     return _error(outcome.tag, outcome.code, message, retry_after_s)
 
 
 def whole_completion(model: str, chunks: list[bytes]) -> bytes:
-    """Return the body of a whole completion."""
+    """Return the body of a completion that is not streamed."""
     text = b''.join(chunks).decode()
     return msgspec.json.encode(_completion(model, text, 'stop'))
 
@@ -67,7 +67,7 @@
 
 
 def stream_error(outcome: NotRun | Unknown | Failed) -> bytes:
-    """Return the event that ends a stream which is not whole."""
+    """Return the server-sent event that ends an incomplete stream."""
     return b''.join((b'event: error\ndata: ', error_body(outcome), b'\n\n'))
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/request.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/request.py
@@ -1,4 +1,4 @@
-"""A caller's request after its checks."""
+"""Validated request of a caller."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class CallerRequest(NamedTuple):
-    """What a caller wants, and by when.
+    """Validated request of a caller, with its deadline.
 
     Parameters
     ----------
     fleet
         The fleet that serves it.
     job
-        The work.
+        The work to send to a runner.
     timeout_s
-        Seconds from its arrival to its deadline.
+        Seconds from the arrival of the request to its deadline.
     repeatable
-        Whether it may run more than once.
+        Whether the request may run more than once.
     key
         Idempotency key; empty if the caller sent none.
     account
-        The client account it is counted against.
+        The client account whose rate limit applies.
     streamed
-        Whether chunks go out as they come; then no second run may start
-        once one has gone out.
+        Whether chunks are sent to the caller as they arrive; if so, no second
+        run may start after the first chunk was sent.
     """
 
     fleet: str
--- a/packages/sesamepoint/src/sesamepoint/entry/tree.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/tree.py
@@ -1,4 +1,4 @@
-"""The supervised parts of an entry, whatever carries its links."""
+"""Supervised tasks of an instance, independent of the transport of its links."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def entry_children(entry: Entry) -> list[Child]:
-    """Return the parts that every entry runs."""
+    """Return the supervised tasks that every instance runs."""
     snapshots = SnapshotKeeper(entry.follower)
     leaders = Leaders(entry.follower, entry.fleets, entry.decisions, entry.policy)
     return [
--- a/packages/sesamepoint/src/sesamepoint/entry/view.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/view.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one runner: reports, and its own work on top."""
+"""State of one runner as known to this instance: reports and unreported own work."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OwnWork(NamedTuple):
-    """Work of this entry's that a report may not show yet."""
+    """Attempt of this instance that the runner's last report may not include yet."""
 
     sent_at: float
     prompt_tokens: int
@@ -33,10 +33,10 @@
 
 
 class RunnerView:
-    """One runner as this entry sees it."""
+    """State of one runner: its last report, the attempts sent to it and its missed heartbeats."""
 
     def __init__(self, name: str, cfg: RunnerConfig, link: AgentLink) -> None:
-        """Know nothing but the configuration."""
+        """Start without a report; the runner counts as failed until the first one."""
         self.name = name
         self.cfg = cfg
         self.link = link
@@ -49,57 +49,57 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the agent answered lately."""
+        """Whether the agent answered one of the last heartbeats."""
         return self._missed < LOST_AFTER
 
     @property
     def usable(self) -> bool:
-        """Whether new work may go there."""
-        leaving = self.cfg['draining'] or self.platform_leaving
-        return self.alive and not leaving and self.report is not None and self.report.ready
+        """Whether new requests may be sent to the runner."""
+        draining = self.cfg['draining'] or self.platform_leaving
+        return self.alive and not draining and self.report is not None and self.report.ready
 
     def begin(self, attempt: str, job: Job) -> None:
-        """Count an attempt that goes there."""
-        known = self.report is not None and job.prefix in self.report.load.prefixes
-        tokens = job.prompt_tokens - known * job.prefix_tokens
+        """Add an attempt that is sent to the runner."""
+        cached = self.report is not None and job.prefix in self.report.load.prefixes
+        tokens = job.prompt_tokens - cached * job.prefix_tokens
         self._own[attempt] = OwnWork(trio.current_time(), tokens, job.urgent, job.prefix)
 
     def finish(self, attempt: str) -> None:
-        """Stop counting an attempt."""
+        """Remove an attempt that ended."""
         self._own.pop(attempt, None)
 
     def candidate(self, zone: str, *, urgent: bool) -> Candidate:
-        """Return what there is to choose by.
+        """Return the runner as a candidate for routing; it must have a report.
 
-        A report trails reality; what this entry sent since the report was
-        made is not in it and is added.
+        A report lags behind the actual load: the attempts that this instance
+        sent after it was made are added to the reported load.
         """
         report = self.report
         assert report is not None  # noqa: S101
-        horizon = self._reported_at - REPORT_LAG_S
-        unseen = [work for work in self._own.values() if work.sent_at > horizon]
+        reported_until = self._reported_at - REPORT_LAG_S
+        unreported = [work for work in self._own.values() if work.sent_at > reported_until]
         load = report.load
         load = load._replace(
-            waiting_tokens=load.waiting_tokens + sum(work.prompt_tokens for work in unseen),
-            urgent_tokens=load.urgent_tokens + sum(work.prompt_tokens for work in unseen if work.urgent),
-            waiting=load.waiting + len(unseen),
-            prefixes=(*load.prefixes, *(work.prefix for work in unseen if work.prefix)),
+            waiting_tokens=load.waiting_tokens + sum(work.prompt_tokens for work in unreported),
+            urgent_tokens=load.urgent_tokens + sum(work.prompt_tokens for work in unreported if work.urgent),
+            waiting=load.waiting + len(unreported),
+            prefixes=(*load.prefixes, *(work.prefix for work in unreported if work.prefix)),
         )
-        pace = self._paces[urgent].factor(trio.current_time())
-        return Candidate(self.name, self.cfg['availability_zone'] == zone, load, pace)
+        time_correction = self._paces[urgent].factor(trio.current_time())
+        return Candidate(self.name, self.cfg['availability_zone'] == zone, load, time_correction)
 
     def observe(self, expected_s: float, took_s: float, *, urgent: bool) -> None:
-        """Learn how long an answer really took here."""
+        """Update the time correction with the expected and actual time of a request."""
         self._paces[urgent].observe(trio.current_time(), expected_s, took_s)
 
     def take_report(self, report: LoadReport, asked_at: float) -> None:
-        """Learn a report that was made after ``asked_at``."""
+        """Store a report that was made after ``asked_at``, in seconds on trio's clock."""
         self._missed = 0
         self.report = report
         self._reported_at = asked_at
 
     async def beat(self, follower: Follower, offered: Offered) -> None:
-        """Ask for a sign of life, and tell what callers asked for."""
+        """Send a heartbeat with the demand of this instance's callers; store the reply."""
         asked_at = trio.current_time()
         generation = self.link.generation
         try:
@@ -123,9 +123,9 @@
         follower.learn(reply.records)
 
     def _miss(self, generation: int, cause: str) -> None:
-        # Something between the two ends may have lost track of this one
-        # connection while new ones work: only a new one, silent as well,
-        # tells that the runner is lost.
+        # A middlebox may have dropped the state of this connection while new
+        # ones work. The runner counts as failed only if a heartbeat on a new
+        # connection goes unanswered as well.
         self._missed += 1
         self.link.renew(generation)
         if self._missed == LOST_AFTER:
