--- a/packages/sesamepoint/src/sesamepoint/control/leader.py
+++ b/packages/sesamepoint/src/sesamepoint/control/leader.py
@@ -52,7 +52,7 @@
                 await self._lead_on()
 
     async def _lead_on(self) -> None:
-        """Wait for reports of all runners, then plan until the lease is lost."""
+        """Wait a fixed time for runners to report, then plan until the lease is lost."""
         self._fleets.lead(self._fleet, leading=True)
         await trio.sleep(WARM_UP_S)
         while self.lease.fence is not None:
--- a/packages/sesamepoint/src/sesamepoint/entry/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/attempt.py
@@ -26,7 +26,7 @@
 class AttemptEnd(NamedTuple):
     """Outcome of an attempt, as far as this instance knows it.
 
-    ``released`` is the number of chunks passed on to the caller.
+    The number counts the chunks passed on to the caller.
     """
 
     end: End
@@ -117,7 +117,7 @@
         """Cancel the attempt and return its outcome.
 
         It is ``not_started`` if the agent says so, ``unknown`` if the agent
-        does not reply, and ``end`` otherwise.
+        does not reply, and the given one otherwise.
         """
         generation = self._link.generation
         with trio.move_on_after(CANCEL_WAIT_S):
--- a/packages/sesamepoint/src/sesamepoint/entry/http.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/http.py
@@ -33,7 +33,7 @@
     """Serves callers' requests; health checks are served on the metrics address."""
 
     def __init__(self, entry: Entry) -> None:
-        """Serve requests with ``entry``."""
+        """Create the application for one request server."""
         self._entry = entry
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
--- a/packages/sesamepoint/src/sesamepoint/entry/view.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/view.py
@@ -93,7 +93,7 @@
         self._paces[urgent].observe(trio.current_time(), expected_s, took_s)
 
     def take_report(self, report: LoadReport, asked_at: float) -> None:
-        """Store a report that was made after ``asked_at``, in seconds on trio's clock."""
+        """Store a report and when it was requested, in seconds on trio's clock."""
         self._missed = 0
         self.report = report
         self._reported_at = asked_at
