--- a/benchmarks/fit.py
+++ b/benchmarks/fit.py
@@ -1,4 +1,4 @@
-"""Fitting a line through measured points."""
+"""Linear regression over measured points."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-REPEATS = 3
+REPEATS_PER_SIZE = 3
 
 
 class Point(NamedTuple):
-    """One size and what was measured at it."""
+    """A size and the median of the measurements at it."""
 
     size: int
     measured: float
 
 
-class Line(NamedTuple):
-    """A fitted line; ``fit`` is the square of the correlation."""
+class LineFit(NamedTuple):
+    """A fitted line with its points and the squared correlation."""
 
     name: str
     unit: str
     slope: float
     intercept: float
-    fit: float
+    r_squared: float
     points: tuple[Point, ...]
 
-    def at(self, size: float) -> float:
-        """Return what the line gives at a size."""
+    def predict(self, size: float) -> float:
+        """Return the fitted measurement at a size."""
         return self.intercept + self.slope * size
 
     def __str__(self) -> str:
-        """Return the line as one row."""
+        """Format the line and its points as one row of text."""
         points = ' '.join(f'{point.size}:{point.measured:.4g}' for point in self.points)
-        line = f'slope {self.slope:.4g} {self.unit}, intercept {self.intercept:.4g}, r2 {self.fit:.3f}'
+        line = f'slope {self.slope:.4g} {self.unit}, intercept {self.intercept:.4g}, r2 {self.r_squared:.3f}'
         return f'{self.name:44} {line} [{points}]'
 
 
-def fit_line(name: str, unit: str, sizes: Sequence[int], measure: Callable[[int], float]) -> Line:
-    """Measure at each size, take medians, and fit."""
-    points = tuple(Point(size, median(measure(size) for _ in range(REPEATS))) for size in sizes)
+def fit_line(name: str, unit: str, sizes: Sequence[int], measure: Callable[[int], float]) -> LineFit:
+    """Measure several times at each size and fit a line through the medians."""
+    points = tuple(Point(size, median(measure(size) for _ in range(REPEATS_PER_SIZE))) for size in sizes)
     xs = [float(point.size) for point in points]
     ys = [point.measured for point in points]
     slope, intercept = linear_regression(xs, ys)
     fit = 1 if len(set(ys)) == 1 else correlation(xs, ys) ** 2
-    return Line(name, unit, slope, intercept, fit, points)
+    return LineFit(name, unit, slope, intercept, fit, points)
 
 
-def processor_s(work: Callable[[], object]) -> float:
-    """Return the processor seconds that ``work`` takes."""
+def cpu_time_s(work: Callable[[], object]) -> float:
+    """Return the CPU seconds that a call of ``work`` takes, after a garbage collection."""
     gc.collect()
     started = time.process_time()
     work()
     return time.process_time() - started
 
 
-__all__ = ('Line', 'Point', 'fit_line', 'processor_s')
+__all__ = ('LineFit', 'Point', 'cpu_time_s', 'fit_line')
--- a/packages/sesamectl/src/sesamectl/commands/publish.py
+++ b/packages/sesamectl/src/sesamectl/commands/publish.py
@@ -1,4 +1,4 @@
-"""``sesamectl publish`` and ``preset``: the two ways to change anything."""
+"""``sesamectl publish`` and ``preset``: changes of the configuration and of the preset."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import msgspec
 
 from sesamepoint_core.errors import SesamepointError
+from sesamepoint_core.fold.record_outcome import Accepted
 from sesamepoint_core.fold.records import Publish, SwitchPreset
-from sesamepoint_core.fold.verdict import Accepted
 from sesamectl.commands.base import COMMANDS, Arguments, with_follower
 from sesamectl.commands.check import load_configuration
 
@@ -19,7 +19,7 @@
 
 
 class ChangeRefusedError(SesamepointError):
-    """The fold rejected a change."""
+    """The control stream rejected a change."""
 
 
 @COMMANDS.register('publish')
@@ -35,7 +35,7 @@
 
 @COMMANDS.register('preset')
 def preset(arguments: Arguments) -> str:
-    """Put another preset in force."""
+    """Switch to another preset."""
 
     def change(based_on: int) -> SwitchPreset:  # noqa: WPS430
         return SwitchPreset(based_on, arguments['--operator'], arguments['NAME'])
@@ -43,17 +43,17 @@
     return _submit(arguments, arguments['--deployment'], change)
 
 
-def _submit(arguments: Arguments, deployment: str, change: object) -> str:
+def _submit(arguments: Arguments, deployment: str, make_body: object) -> str:
     async def submit(follower: Follower) -> str:  # noqa: WPS430
-        given = arguments['--based-on']
-        based_on = follower.state.version if given is None else int(given)
-        body: Body = change(based_on)  # type: ignore[operator]
-        verdict = await follower.submit(body)
-        if isinstance(verdict, Accepted):
-            return f'{deployment}: version {verdict.version} is in force from offset {verdict.offset}'
+        option = arguments['--based-on']
+        based_on = follower.state.version if option is None else int(option)
+        body: Body = make_body(based_on)  # type: ignore[operator]
+        outcome = await follower.submit(body)
+        if isinstance(outcome, Accepted):
+            return f'{deployment}: version {outcome.version} is in force from offset {outcome.offset}'
         raise ChangeRefusedError(
-            getattr(verdict, 'reason', 'the record was a repeat'),
-            getattr(verdict, 'remedy', 'run "sesamectl show"'),
+            getattr(outcome, 'reason', 'the record was a repeat'),
+            getattr(outcome, 'remedy', 'run "sesamectl show"'),
         )
 
     return with_follower(arguments, deployment, submit)
--- a/packages/sesamectl/src/sesamectl/demo/deployment.py
+++ b/packages/sesamectl/src/sesamectl/demo/deployment.py
@@ -1,4 +1,4 @@
-"""One deployment of the demo: stand-ins, agents and entries on loopback."""
+"""One deployment of the demo: stand-in engines, agents and instances on loopback."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
     from sesamepoint_standins.memory_platform import MemoryInstances
 
 ROLE_CHANGE_S = 2.0
-UPSTREAM_PORTS = 400
-METRICS_PORTS = 800
-ENTRIES = 2
-PLATFORM = '127.0.0.1:6950'
+UPSTREAM_PORT_OFFSET = 400
+METRICS_PORT_OFFSET = 800
+ENTRY_COUNT = 2
+PLATFORM_ADDRESS = '127.0.0.1:6950'
 
 
 class DemoDeployment:
-    """Everything of one user, started part by part."""
+    """All processes of one user, each started separately."""
 
     def __init__(self, cfg: Configuration, entry_port: int, instances: MemoryInstances) -> None:
-        """Prepare the stand-ins."""
+        """Prepare the deployment without starting it."""
         self.cfg = cfg
         self.engines: dict[str, Engine] = {}
-        self.entries = [f'127.0.0.1:{entry_port + number}' for number in range(ENTRIES)]
+        self.entries = [f'127.0.0.1:{entry_port + number}' for number in range(ENTRY_COUNT)]
         self.processes: list[EntryProcess] = []
         self._instances = instances
         self._scopes: dict[str, trio.CancelScope] = {}
         self._agents: dict[str, AgentProcess] = {}
 
     async def run(self) -> None:
-        """Run all parts until cancelled."""
+        """Run all processes until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for runner in self.cfg['runners']:
@@ -50,14 +50,14 @@
             await trio.sleep_forever()
 
     def start_agent(self, runner: str) -> None:
-        """Start an agent in a runner's slot."""
+        """Start the agent of a runner."""
         self._scopes[runner] = trio.CancelScope()
         self._agents[runner] = AgentProcess.from_config(self._agent_settings(runner))
         self._instances.put(self.cfg['runners'][runner]['agent'], draining=False)
         self._nursery.start_soon(self._run_agent, runner, self._agents[runner], self._scopes[runner])
 
     async def replace_agent(self, runner: str) -> None:
-        """Stop an agent gracefully, as the platform does, and start another."""
+        """Drain and stop the agent of a runner, as the platform does, and start a new one."""
         self._instances.put(self.cfg['runners'][runner]['agent'], draining=True)
         await self._agents[runner].wind_down()
         self._scopes[runner].cancel()
@@ -71,7 +71,7 @@
     async def _start_upstream(self, runner: str) -> None:
         cfg = self.cfg['runners'][runner]
         fleet = self.cfg['fleets'][cfg['fleet']]
-        address = _shifted(cfg['agent'], UPSTREAM_PORTS)
+        address = _add_port_offset(cfg['agent'], UPSTREAM_PORT_OFFSET)
         if fleet['kind'] == 'plain':
             await self._nursery.start(serve_asgi, PlainApp(), address)
             return
@@ -84,7 +84,7 @@
     def _agent_settings(self, runner: str) -> Any:
         cfg = self.cfg['runners'][runner]
         kind = self.cfg['fleets'][cfg['fleet']]['kind']
-        upstream = {'adapter': kind, 'url': f'http://{_shifted(cfg["agent"], UPSTREAM_PORTS)}'}
+        upstream = {'adapter': kind, 'url': f'http://{_add_port_offset(cfg["agent"], UPSTREAM_PORT_OFFSET)}'}
         return {
             **self._settings(f'agent-{runner}', cfg['availability_zone'], cfg['agent']),
             'runner': runner,
@@ -96,21 +96,21 @@
         return self._settings(f'entry-{number + 1}', zones[number % len(zones)], address)
 
     def _settings(self, name: str, zone: str, address: str) -> dict[str, Any]:
-        platform = {'adapter': 'http', 'url': f'http://{PLATFORM}'}
+        platform = {'adapter': 'http', 'url': f'http://{PLATFORM_ADDRESS}'}
         return {
             'name': name,
             'availability_zone': zone,
             'deployment': self.cfg['deployment'],
             'listen': address,
-            'metrics': _shifted(address, METRICS_PORTS),
+            'metrics': _add_port_offset(address, METRICS_PORT_OFFSET),
             'log': platform,
             'instances': platform,
         }
 
 
-def _shifted(address: str, ports: int) -> str:
+def _add_port_offset(address: str, offset: int) -> str:
     host, _, port = address.rpartition(':')
-    return f'{host}:{int(port) + ports}'
+    return f'{host}:{int(port) + offset}'
 
 
-__all__ = ('PLATFORM', 'DemoDeployment')
+__all__ = ('PLATFORM_ADDRESS', 'DemoDeployment')
--- a/packages/sesamectl/src/sesamectl/demo/load.py
+++ b/packages/sesamectl/src/sesamectl/demo/load.py
@@ -1,4 +1,4 @@
-"""The demo's callers, over HTTP."""
+"""Load of the demo: callers over HTTP."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from sesamectl.demo.deployment import DemoDeployment
 
 STATUS_OK = 200
-LONG_CHARS = 24_000
-SHORT_CHARS = 800
-LONG_TOKENS = 24
-SHORT_TOKENS = 60
+LONG_PROMPT_CHARS = 24_000
+SHORT_PROMPT_CHARS = 800
+LONG_PROMPT_ANSWER_TOKENS = 24
+SHORT_PROMPT_ANSWER_TOKENS = 60
 TIMEOUT_MS = 8000
-PAUSE_S = 0.3
-JITTER = (0.5, 1.5)
+MEAN_PAUSE_S = 0.3
+PAUSE_FACTORS = (0.5, 1.5)
 MAX_CONNECTIONS = 64
 
 
@@ -37,19 +37,19 @@
 
 
 class CallEnd(NamedTuple):
-    """How a call ended: its outcome's tag, and whether the text was right."""
+    """Outcome of a call: its tag, and whether the text was correct."""
 
     main: bool
     tag: str
-    right: bool
+    correct: bool
     took_s: float
 
 
 class Load:
-    """Sends a mix that shifts from short prompts to long ones."""
+    """Sends a mix of long and short prompts."""
 
     def __init__(self, deployment: DemoDeployment, model: str, seed: int) -> None:
-        """Send to the entries of ``deployment``."""
+        """Prepare to send to the instances of ``deployment``."""
         self.ended: list[CallEnd] = []
         self._deployment = deployment
         self._model = model
@@ -58,20 +58,20 @@
         self._sent = 0
 
     async def run(self, seconds: float, long_share: float) -> None:
-        """Send for some seconds; wait for the answers."""
+        """Send for some seconds, with a share of long prompts; wait for the answers."""
         stop_at = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < stop_at:
-                nursery.start_soon(self._call, self._next(long_share))
-                await trio.sleep(PAUSE_S * self._rng.uniform(*JITTER))
+                nursery.start_soon(self._call, self._next_call(long_share))
+                await trio.sleep(MEAN_PAUSE_S * self._rng.uniform(*PAUSE_FACTORS))
 
-    def _next(self, long_share: float) -> Call:
+    def _next_call(self, long_share: float) -> Call:
         self._sent += 1
         main = self._rng.random() < long_share
         text = f'{self._model} {self._sent} '
-        prompt = text.ljust(LONG_CHARS if main else SHORT_CHARS, '.')
+        prompt = text.ljust(LONG_PROMPT_CHARS if main else SHORT_PROMPT_CHARS, '.')
         key = f'{self._model}-{self._sent}' if main else ''
-        return Call(main, prompt, LONG_TOKENS if main else SHORT_TOKENS, key)
+        return Call(main, prompt, LONG_PROMPT_ANSWER_TOKENS if main else SHORT_PROMPT_ANSWER_TOKENS, key)
 
     async def _call(self, call: Call) -> None:
         started = trio.current_time()
@@ -79,16 +79,16 @@
         body = msgspec.json.encode({'model': self._model, 'prompt': call.prompt, 'max_tokens': call.tokens})
         url = f'http://{entry}/v1/completions'
         reply = await self._pool.request('POST', url, headers=_headers(call), content=body)
-        self._note(call, reply, trio.current_time() - started)
+        self._record_end(call, reply, trio.current_time() - started)
 
-    def _note(self, call: Call, reply: httpcore.Response, took_s: float) -> None:
-        found: Any = msgspec.json.decode(reply.content)
+    def _record_end(self, call: Call, reply: httpcore.Response, took_s: float) -> None:
+        answer: Any = msgspec.json.decode(reply.content)
         if reply.status != STATUS_OK:
-            error = found['error']
+            error = answer['error']
             tag = 'late' if error['code'] == DEADLINE_PASSED else error['outcome']
-            self.ended.append(CallEnd(call.main, tag, right=True, took_s=took_s))
+            self.ended.append(CallEnd(call.main, tag, correct=True, took_s=took_s))
             return
-        right = found['choices'][0]['text'] == answer_text(answer_seed(call.prompt.encode()), 0, call.tokens)
+        right = answer['choices'][0]['text'] == answer_text(answer_seed(call.prompt.encode()), 0, call.tokens)
         tag = 'answered' if took_s * MS_PER_S <= TIMEOUT_MS else 'late'
         self.ended.append(CallEnd(call.main, tag, right, took_s))
 
--- a/packages/sesamectl/src/sesamectl/experiment/arrivals.py
+++ b/packages/sesamectl/src/sesamectl/experiment/arrivals.py
@@ -1,4 +1,4 @@
-"""The arrivals of a scenario: the same for every policy and every run of a seed."""
+"""Arrivals of a scenario, which depend on its seed only, not on the policy."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
     from sesamectl.experiment.scenario import ArrivalClass, Scenario
 
-ACCOUNTS = 20
+ACCOUNT_COUNT = 20
 
 
 class Arrival(NamedTuple):
-    """One request and when it comes, in seconds from the start."""
+    """A request and the time of its arrival, in seconds from the start."""
 
     at: float
-    name: str
-    req: CallerRequest
+    class_name: str
+    request: CallerRequest
     client_retries: int
 
 
@@ -32,54 +32,56 @@
     """Return all arrivals in order of time."""
     found: list[Arrival] = []
     for name, kind in sorted(scenario['classes'].items()):
-        found.extend(_of_class(name, kind, scenario['duration_s'], Random(f'{seed} {name}')))
+        found.extend(_class_arrivals(name, kind, scenario['duration_s'], Random(f'{seed} {name}')))
     return sorted(found, key=lambda arrival: arrival.at)
 
 
-def rate_at(kind: ArrivalClass, at: float) -> float:
-    """Return the requests a second of a class at a time."""
-    period_s = kind.get('period_s')
+def rate_at(arrival_class: ArrivalClass, at: float) -> float:
+    """Return the arrival rate of a class at a time, in requests per second."""
+    period_s = arrival_class.get('period_s')
     if period_s is not None:
         at %= period_s
-    points = kind['rate']
+    points = arrival_class['rate']
     for (start, low), (end, high) in pairwise(points):
         if start <= at < end:
             return low + (high - low) * (at - start) / (end - start)
     return points[-1][1]
 
 
-def _of_class(name: str, kind: ArrivalClass, duration_s: float, rng: Random) -> Iterator[Arrival]:
-    """Thin a steady stream at the highest rate down to the rate wanted."""
-    highest = max(rate for _, rate in kind['rate'])
+def _class_arrivals(name: str, arrival_class: ArrivalClass, duration_s: float, rng: Random) -> Iterator[Arrival]:
+    """Draw a Poisson process at the highest rate, and thin it to the rate at each time."""
+    highest = max(rate for _, rate in arrival_class['rate'])
     at = rng.expovariate(highest)
     number = 0
     while at < duration_s:
-        if rng.random() * highest < rate_at(kind, at):
+        if rng.random() * highest < rate_at(arrival_class, at):
             number += 1
-            yield Arrival(at, name, _request(f'{name} {number}', kind, rng), kind['client_retries'])
+            yield Arrival(
+                at, name, _build_request(f'{name} {number}', arrival_class, rng), arrival_class['client_retries']
+            )
         at += rng.expovariate(highest)
 
 
-def _request(label: str, kind: ArrivalClass, rng: Random) -> CallerRequest:
-    prefix = f'{label[0]}{rng.randrange(kind["prefixes"])}' if kind['prefixes'] else ''
+def _build_request(label: str, arrival_class: ArrivalClass, rng: Random) -> CallerRequest:
+    prefix = f'{label[0]}{rng.randrange(arrival_class["prefixes"])}' if arrival_class['prefixes'] else ''
     job = Job(
         kind='engine',
         method='POST',
         path='/v1/completions',
         body=msgspec.json.encode({'prompt': label}),
-        prompt_tokens=rng.randint(*kind['prompt_tokens']),
-        output_tokens=rng.randint(*kind['output_tokens']),
-        urgent=kind['urgent'],
+        prompt_tokens=rng.randint(*arrival_class['prompt_tokens']),
+        output_tokens=rng.randint(*arrival_class['output_tokens']),
+        urgent=arrival_class['urgent'],
         prefix=prefix,
-        prefix_tokens=kind['prefix_tokens'] if prefix else 0,
+        prefix_tokens=arrival_class['prefix_tokens'] if prefix else 0,
     )
     return CallerRequest(
-        fleet=kind['fleet'],
+        fleet=arrival_class['fleet'],
         job=job,
-        timeout_s=kind['timeout_s'],
-        repeatable=rng.random() >= kind['not_repeatable'],
+        timeout_s=arrival_class['timeout_s'],
+        repeatable=rng.random() >= arrival_class['not_repeatable'],
         key='',
-        account=f'account-{rng.randrange(ACCOUNTS)}',
+        account=f'account-{rng.randrange(ACCOUNT_COUNT)}',
         streamed=True,
     )
 
--- a/packages/sesamectl/src/sesamectl/experiment/scenario.py
+++ b/packages/sesamectl/src/sesamectl/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: arrivals by class, faults and preset switches at times."""
+"""Scenario files: arrivals by class, scheduled faults and preset switches."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from sesamepoint_core.config.model import Name, NonNegative, Positive, Share
 from sesamepoint.settings.load import read_document, validate_settings
 
-SHIPPED = Path(__file__).parent / 'scenarios'
-_CLOSED = ConfigDict(extra='forbid')
-Range = Annotated[list[Annotated[int, Field(ge=1)]], Field(min_length=2, max_length=2)]
-Point = Annotated[list[NonNegative], Field(min_length=2, max_length=2)]
+SCENARIOS_DIR = Path(__file__).parent / 'scenarios'
+_FORBID_EXTRA = ConfigDict(extra='forbid')
+TokenRange = Annotated[list[Annotated[int, Field(ge=1)]], Field(min_length=2, max_length=2)]
+RatePoint = Annotated[list[NonNegative], Field(min_length=2, max_length=2)]
 
 
-@with_config(_CLOSED)
+@with_config(_FORBID_EXTRA)
 class ArrivalClass(TypedDict):
     """One kind of request and how it arrives.
 
-    ``speed_meters`` is a line through points of seconds and requests a second,
-    repeated every ``period_s`` if that is given. Lengths are drawn evenly
-    from their ranges, in tokens. Of ``prefixes`` shared heads, one is drawn
-    for each request. ``client_retries`` is how often a caller that was told
-    `not_run` comes back at the time it was told.
+    ``rate`` has points of seconds and requests per second, interpolated
+    linearly and repeated every ``period_s`` if that is given. Lengths are drawn
+    uniformly from their ranges, in tokens. Each request gets one of
+    ``prefixes`` shared prefixes. ``client_retries`` is how often a caller
+    retries after the outcome `not_run`, at the time that the answer names.
     """
 
     fleet: Name
     urgent: bool
-    rate: list[Point]
+    rate: list[RatePoint]
     period_s: NotRequired[Positive]
-    prompt_tokens: Range
-    output_tokens: Range
+    prompt_tokens: TokenRange
+    output_tokens: TokenRange
     timeout_s: Positive
     not_repeatable: Share
     prefixes: Annotated[int, Field(ge=0)]
@@ -41,9 +41,9 @@
     client_retries: Annotated[int, Field(ge=0, le=10)]
 
 
-@with_config(_CLOSED)
-class FaultAt(TypedDict):
-    """A fault from ``at`` until ``until``, in seconds; see docs/EXPERIMENTS.md."""
+@with_config(_FORBID_EXTRA)
+class ScheduledFault(TypedDict):
+    """A fault from ``at`` until ``until``, in seconds from the start; see docs/EXPERIMENTS.md."""
 
     at: NonNegative
     until: NonNegative
@@ -51,58 +51,58 @@
     target: str
 
 
-@with_config(_CLOSED)
-class SwitchAt(TypedDict):
-    """A preset that an operator switches to at a time."""
+@with_config(_FORBID_EXTRA)
+class ScheduledSwitch(TypedDict):
+    """A switch to a preset by the operator, at a time in seconds from the start."""
 
     at: NonNegative
     preset: Literal['ordinary', 'peak', 'maintenance']
 
 
-@with_config(_CLOSED)
+@with_config(_FORBID_EXTRA)
 class Scenario(TypedDict):
-    """What happens in one experiment."""
+    """Arrivals, faults and preset switches of one experiment."""
 
     about: str
     duration_s: Positive
     classes: dict[Name, ArrivalClass]
-    faults: list[FaultAt]
-    presets: list[SwitchAt]
+    faults: list[ScheduledFault]
+    presets: list[ScheduledSwitch]
 
 
-class Source(NamedTuple):
-    """Where a scenario is and whose shipped ones it may build on."""
+class ScenarioSource(NamedTuple):
+    """File of a scenario, and the deployment whose shipped scenarios it may extend."""
 
     path: Path
     deployment: str
 
 
 def shipped_scenarios(deployment: str) -> tuple[str, ...]:
-    """Return the names of a user's shipped scenarios."""
-    return tuple(sorted(path.stem for path in (SHIPPED / deployment).glob('*.json')))
+    """Return the names of a deployment's shipped scenarios."""
+    return tuple(sorted(path.stem for path in (SCENARIOS_DIR / deployment).glob('*.json')))
 
 
-def find_scenario(deployment: str, name: str) -> Source:
-    """Return the file of a shipped name, or of a path."""
-    shipped = SHIPPED / deployment / f'{name}.json'
-    return Source(shipped if shipped.exists() else Path(name), deployment)
+def find_scenario(deployment: str, name: str) -> ScenarioSource:
+    """Return the shipped scenario of a name, or else the file at that path."""
+    shipped = SCENARIOS_DIR / deployment / f'{name}.json'
+    return ScenarioSource(shipped if shipped.exists() else Path(name), deployment)
 
 
-def load_scenario(source: Source) -> Scenario:
-    """Return a checked scenario.
+def load_scenario(source: ScenarioSource) -> Scenario:
+    """Load a scenario and check it.
 
-    A file with ``base`` changes the shipped scenario of that name: its
-    classes are merged key by key, everything else is replaced.
+    A file with ``base`` extends the shipped scenario of that name: its classes
+    are merged key by key, everything else is replaced.
 
     Raises
     ------
     SettingsError
-        On the first thing that is wrong, with its path in the document.
+        On the first problem, with its path in the document.
     """
     return validate_settings(source.path, _merged(source), Scenario)
 
 
-def _merged(source: Source) -> Any:
+def _merged(source: ScenarioSource) -> Any:
     document = read_document(source.path)
     if not isinstance(document, dict) or 'base' not in document:
         return document
@@ -112,4 +112,4 @@
     return {**base, **document, 'classes': classes}
 
 
-__all__ = ('ArrivalClass', 'FaultAt', 'Scenario', 'find_scenario', 'load_scenario', 'shipped_scenarios')
+__all__ = ('ArrivalClass', 'Scenario', 'ScheduledFault', 'find_scenario', 'load_scenario', 'shipped_scenarios')
--- a/packages/sesamectl/src/sesamectl/experiment/figures.py
+++ b/packages/sesamectl/src/sesamectl/experiment/trial_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a finished trial."""
+"""Figures of a finished trial."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sesamepoint_core.answer.outcome import Answered, Failed, NotRun, Unknown
-from sesamectl.experiment.ideal import ideal_goodput
+from sesamectl.experiment.goodput_bound import ideal_goodput
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sesamectl.experiment.run import Ended, Finished, Trial
+    from sesamectl.experiment.trial import FinishedTrial, RequestEnd, Trial
 
-PERCENTILES = 20
-PLACES = 4
+QUANTILE_COUNT = 20
+DECIMALS = 4
 LATE_CODE = 'deadline_passed'
 
 
 class Figures(NamedTuple):
-    """What one trial came to; docs/EXPERIMENTS.md explains each."""
+    """Counts, shares and times of one trial; docs/EXPERIMENTS.md explains each."""
 
     offered: int
     answered_in_time: int
@@ -37,9 +37,9 @@
     ideal_goodput: float
 
 
-def figures(trial: Trial, finished: Finished) -> Figures:
-    """Count a finished trial's outcomes."""
-    tags = Counter(_tag(ended) for ended in finished.ended)
+def compute_figures(trial: Trial, finished: FinishedTrial) -> Figures:
+    """Compute the figures of a finished trial."""
+    tags = Counter(_outcome_tag(ended) for ended in finished.ended)
     offered = len(finished.ended)
     in_time = tags[Answered.tag]
     return Figures(
@@ -49,19 +49,19 @@
         not_run=tags[NotRun.tag],
         unknown=tags[Unknown.tag],
         failed=tags[Failed.tag],
-        goodput=round(in_time / max(offered, 1), PLACES),
+        goodput=round(in_time / max(offered, 1), DECIMALS),
         role_changes=finished.role_changes,
-        first_token_p95_s=_p95([ended.first_s for ended in finished.ended if ended.first_s is not None]),
-        inter_token_p95_s=_p95([ended.gap_s for ended in finished.ended if ended.gap_s is not None]),
+        first_token_p95_s=_p95([ended.first_token_s for ended in finished.ended if ended.first_token_s is not None]),
+        inter_token_p95_s=_p95([ended.mean_gap_s for ended in finished.ended if ended.mean_gap_s is not None]),
         duplicates=finished.duplicates,
         cut_off=finished.cut_off,
-        ideal_goodput=round(ideal_goodput(trial, [ended.arrival for ended in finished.ended]), PLACES),
+        ideal_goodput=round(ideal_goodput(trial, [ended.arrival for ended in finished.ended]), DECIMALS),
     )
 
 
-def _tag(ended: Ended) -> str:
+def _outcome_tag(ended: RequestEnd) -> str:
     outcome = ended.outcome
-    late = isinstance(outcome, Answered) and ended.took_s > ended.arrival.req.timeout_s
+    late = isinstance(outcome, Answered) and ended.took_s > ended.arrival.request.timeout_s
     if late or (isinstance(outcome, Failed) and outcome.code == LATE_CODE):
         return 'late'
     return outcome.tag
@@ -70,7 +70,7 @@
 def _p95(samples: Sequence[float]) -> float:
     if len(samples) < 2:
         return 0
-    return round(quantiles(samples, n=PERCENTILES)[-1], PLACES)
+    return round(quantiles(samples, n=QUANTILE_COUNT)[-1], DECIMALS)
 
 
-__all__ = ('Figures', 'figures')
+__all__ = ('Figures', 'compute_figures')
--- a/packages/sesamectl/src/sesamectl/log_lines.py
+++ b/packages/sesamectl/src/sesamectl/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading log lines of front processes, also with other text around them."""
+"""Reading of log lines of front processes, also with other text around them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def decode_line(text: str) -> dict[str, Any] | None:
-    """Return the fields of a log line, or None if ``text`` is none."""
+    """Return the fields of the log line in ``text``, or None if it holds none."""
     start = text.find('{')
     if start < 0:
         return None
@@ -26,24 +26,24 @@
 
 
 @contextmanager
-def opened_logs(name: str | None, account: str | None = None) -> Iterator[Iterable[str]]:
-    """Give the lines of the file called ``name``, or of standard input without one.
+def open_logs(name: str | None, account: str | None = None) -> Iterator[Iterable[str]]:
+    """Open the file ``name``, or standard input if it is None, and yield its lines.
 
-    Of an ``account``, if one is named, only the ends of its requests; lines that
-    are none at all stay, so that they are counted.
+    With an ``account``, yield only the lines on the ends of its requests. Text
+    that is no log line stays, so that it is counted.
     """
     if name is None:
-        yield _of_account(sys.stdin, account)
+        yield _filter_account(sys.stdin, account)
         return
     with Path(name).open(encoding='utf-8', errors='replace') as logs:
-        yield _of_account(logs, account)
+        yield _filter_account(logs, account)
 
 
-def _of_account(lines: Iterable[str], account: str | None) -> Iterator[str]:
+def _filter_account(lines: Iterable[str], account: str | None) -> Iterator[str]:
     for text in lines:
         fields = decode_line(text) if account else None
         if fields is None or fields.get('account') == account:
             yield text
 
 
-__all__ = ('decode_line', 'opened_logs')
+__all__ = ('decode_line', 'open_logs')
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/records.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/records.py
@@ -1,4 +1,4 @@
-"""The records of the control log and their encoding."""
+"""Record types of the control log and their JSON encoding."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from sesamepoint_core.registry import Registry
 
-RECORDS: Registry[type] = Registry('record kind')
+RECORD_TYPES: Registry[type] = Registry('record kind')
 
 
 class Record(NamedTuple):
-    """One record as it lies on the log.
+    """Envelope of a record on the log.
 
     Parameters
     ----------
     writer
-        The incarnation that wrote it.
+        Incarnation of the process that wrote the record.
     serial
-        The writer's own count; a repeated append carries the same one.
+        Number that the writer counts up; a repeated append carries the same number.
     kind
-        The registered name of the body's type.
+        Registered name of the body's type.
     body
-        The encoded body.
+        Encoded body.
     """
 
     writer: str
@@ -34,44 +34,48 @@
     body: msgspec.Raw
 
 
-@RECORDS.register('publish')
+@RECORD_TYPES.register('publish')
 class Publish(NamedTuple):
-    """A whole new configuration, made from version ``based_on``."""
+    """Replace the whole configuration, based on version ``based_on``."""
 
     based_on: int
     operator: str
     configuration: msgspec.Raw
 
 
-@RECORDS.register('preset')
+@RECORD_TYPES.register('preset')
 class SwitchPreset(NamedTuple):
-    """Put another preset in force, seen from version ``based_on``."""
+    """Switch to another preset, based on version ``based_on``."""
 
     based_on: int
     operator: str
     preset: str
 
 
-@RECORDS.register('claim')
+@RECORD_TYPES.register('claim')
 class ClaimLease(NamedTuple):
-    """Take the lease ``name``; void if it moved after offset ``last_seen``."""
+    """Claim the lease ``name``.
+
+    Rejected unless ``last_seen`` is the offset of the newest claim or renewal
+    of the lease, or the lease was never claimed.
+    """
 
     name: str
     holder: str
     last_seen: int
 
 
-@RECORDS.register('renew')
+@RECORD_TYPES.register('renew')
 class RenewLease(NamedTuple):
-    """Keep the lease ``name`` that was claimed at offset ``fence``."""
+    """Renew the lease ``name`` that was claimed at offset ``fence``."""
 
     name: str
     fence: int
 
 
-@RECORDS.register('order')
+@RECORD_TYPES.register('order')
 class Order(NamedTuple):
-    """Tell one upstream to take a role, under a lease and a version."""
+    """Order one upstream to take a role, under a lease and a configuration version."""
 
     fleet: str
     runner: str
@@ -81,9 +85,9 @@
     reason: str
 
 
-@RECORDS.register('order-done')
+@RECORD_TYPES.register('order-done')
 class OrderDone(NamedTuple):
-    """The agent's word on what became of the order at ``offset``."""
+    """Report by an agent that the order at ``offset`` is done, with the role found."""
 
     runner: str
     offset: int
@@ -92,39 +96,39 @@
 
 Body = Publish | SwitchPreset | ClaimLease | RenewLease | Order | OrderDone
 
-_KIND_OF = MappingProxyType({RECORDS.get(kind): kind for kind in RECORDS})
+_KIND_OF = MappingProxyType({RECORD_TYPES.get(kind): kind for kind in RECORD_TYPES})
 _encoder = msgspec.json.Encoder()
-_envelope = msgspec.json.Decoder(Record)
+_record_decoder = msgspec.json.Decoder(Record)
 
 
 def encode(writer: str, serial: int, body: Body) -> bytes:
-    """Return the bytes to append for ``body``."""
+    """Return the encoded record to append for ``body``."""
     raw = msgspec.Raw(_encoder.encode(body))
     return _encoder.encode(Record(writer, serial, _KIND_OF[type(body)], raw))
 
 
 def decode(payload: bytes) -> tuple[Record, Body]:
-    """Return the envelope and the typed body.
+    """Return the envelope and the decoded body.
 
     Raises
     ------
     msgspec.DecodeError
-        If the payload is none of ours.
+        If the payload is not a valid record or its kind is unknown.
     """
-    record = _envelope.decode(payload)
-    if record.kind not in RECORDS:
+    record = _record_decoder.decode(payload)
+    if record.kind not in RECORD_TYPES:
         raise msgspec.DecodeError(record.kind)
-    body: Body = _decoder(record.kind).decode(record.body)
+    body: Body = _body_decoder(record.kind).decode(record.body)
     return record, body
 
 
 @cache
-def _decoder(kind: str) -> msgspec.json.Decoder[Any]:
-    return msgspec.json.Decoder(RECORDS.get(kind))
+def _body_decoder(kind: str) -> msgspec.json.Decoder[Any]:
+    return msgspec.json.Decoder(RECORD_TYPES.get(kind))
 
 
 __all__ = (
-    'RECORDS',
+    'RECORD_TYPES',
     'Body',
     'ClaimLease',
     'Order',
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
@@ -1,4 +1,4 @@
-"""Which runners of a large fleet an entry keeps an eye on."""
+"""Subset of the runners of a large fleet that one instance uses."""
 
 from __future__ import annotations
 
@@ -8,36 +8,38 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-WHOLE_FLEET = 16
-SUBSET = 6
+MAX_WHOLE_FLEET = 16
+SUBSET_SIZE = 6
 CRC_BITS = 32
-# One more than the largest hash.
-_HASHES = 1 << CRC_BITS
+# Number of hash values.
+_HASH_COUNT = 1 << CRC_BITS
 
 
-def subset(entry: str, runners: Sequence[str]) -> tuple[str, ...]:
-    """Return the runners of one fleet that ``instance`` knows.
+def choose_subset(instance: str, runners: Sequence[str]) -> tuple[str, ...]:
+    """Return the runners of one fleet that the instance ``instance`` uses.
 
-    A small fleet is known whole. Of a large one each entry ranks all runners
-    by a hash of both names and takes the first few: every runner is then
-    known to its share of the entries, and one that comes or goes moves no
-    other. Known in full, 600 runners would cost an entry some hundred times
-    its share of processor and network (docs/CAPACITY.md).
+    Of a small fleet, all are used. Of a large one, an instance uses the few
+    runners with the lowest hashes of both names (rendezvous hashing). Each
+    runner is then used by its share of the instances, and a runner that is
+    added or removed doesn't change the choice among the others. To use all of
+    600 runners would cost an instance about a hundred times its share of
+    processor time and network (docs/CAPACITY.md).
     """
-    if len(runners) <= WHOLE_FLEET:
+    if len(runners) <= MAX_WHOLE_FLEET:
         return tuple(runners)
-    return tuple(sorted(runners, key=lambda runner: zlib.crc32(f'{entry} {runner}'.encode()))[:SUBSET])
+    return tuple(sorted(runners, key=lambda runner: zlib.crc32(f'{instance} {runner}'.encode()))[:SUBSET_SIZE])
 
 
-def is_known(entry: str, runner: str, fleet_size: int, known: int) -> bool:
-    """Tell whether ``instance`` knows ``runner``: all of a fleet of ``known``, else about so many.
+def in_subset(instance: str, runner: str, fleet_size: int, subset_size: int) -> bool:
+    """Tell whether the instance ``instance`` uses ``runner``.
 
-    Unlike :func:`subset` this needs no list of the fleet, so that each entry
-    can tell of any other what it knows.
+    Of a fleet of up to ``subset_size`` runners, all are used; of a larger one, about
+    ``subset_size``. Unlike :func:`choose_subset` this needs no list of the fleet, so each
+    instance can compute it for any peer.
     """
-    if fleet_size <= known:
+    if fleet_size <= subset_size:
         return True
-    return zlib.crc32(f'{entry} {runner}'.encode()) * fleet_size < known * _HASHES
+    return zlib.crc32(f'{instance} {runner}'.encode()) * fleet_size < subset_size * _HASH_COUNT
 
 
-__all__ = ('SUBSET', 'WHOLE_FLEET', 'is_known', 'subset')
+__all__ = ('MAX_WHOLE_FLEET', 'SUBSET_SIZE', 'choose_subset', 'in_subset')
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
@@ -285,7 +285,7 @@
 
 
 def _late_cost_s(first_s: float, speeds: Speeds) -> float:
-    """Return the expected cost of a missed deadline if the first token comes after ``first_byte_s``."""
+    """Return the expected cost of a missed deadline if the first token comes after ``first_s``."""
     if speeds.on_time_s <= 0:
         return 0
     probability = (first_s / speeds.on_time_s - ON_TIME_SHARE) / (1 - ON_TIME_SHARE)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine_model.py
@@ -47,7 +47,7 @@
 
 
 def prefill_rate(role: str, running: int) -> float:
-    """Return the prefill rate with ``running_simulation`` answers in the batch, in tokens/s."""
+    """Return the prefill rate with ``running`` answers in the batch, in tokens/s."""
     chunk = PROFILES[role].chunk_tokens if role in PROFILES else 0
     return chunk / step_s(chunk, running)
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_platform.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_platform.py
@@ -7,7 +7,7 @@
 import trio
 
 from sesamepoint_core.errors import PlatformUnavailableError
-from sesamepoint.control.signal import Signal
+from sesamepoint.control.notifier import Notifier
 from sesamepoint.platform.service_interfaces import Instance, LogPage, LogRecord
 
 MAX_PAGE_RECORDS = 1000
@@ -69,11 +69,11 @@
         return offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return records from ``incarnation`` on; wait at most ``wait_s`` for the first."""
+        """Return records from ``start`` on; wait at most ``wait_s`` for the first."""
         await self._simulate_call(0)
         stored = self._stream(stream)
         if stored.end <= start and wait_s > 0:
-            await stored.appended.wait_at_most(wait_s)
+            await stored.appended.wait_with_timeout(wait_s)
             await self._simulate_call(0)
         return stored.page(start)
 
@@ -102,7 +102,7 @@
     """Records of one stream and the offset of the first one that is kept."""
 
     def __init__(self) -> None:
-        self.appended = Signal()
+        self.appended = Notifier()
         self._records: list[bytes] = []
         self._earliest = 0
 
@@ -114,11 +114,11 @@
     def append(self, payload: bytes) -> int:
         """Add a record."""
         self._records.append(payload)
-        self.appended.set_off()
+        self.appended.notify_all()
         return self.end - 1
 
     def page(self, start: int) -> LogPage:
-        """Return the records from ``incarnation`` on."""
+        """Return the records from ``start`` on."""
         first = max(start - self._earliest, 0)
         payloads = self._records[first : first + MAX_PAGE_RECORDS]
         offsets = range(self._earliest + first, self.end)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_bound.py
@@ -30,7 +30,7 @@
 
 
 def request_windows(times: Sequence[float]) -> Iterator[RequestWindow]:
-    """Yield the window that ends at each of ``requests``, which are sorted."""
+    """Yield the window that ends at each of ``times``, which are sorted."""
     for number, until in enumerate(times, start=1):
         yield RequestWindow(until, number - bisect_right(times, until - WINDOW_S))
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/process_faults.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/process_faults.py
@@ -7,7 +7,7 @@
 import trio
 
 from sesamepoint_core.errors import PlatformUnavailableError
-from sesamepoint.control.signal import Signal
+from sesamepoint.control.notifier import Notifier
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -32,12 +32,12 @@
         """Start without faults."""
         self.paused = False
         self.cut_from_log = False
-        self._resumed = Signal()
+        self._resumed = Notifier()
 
     def resume(self) -> None:
         """Resume the process and release its blocked calls."""
         self.paused = False
-        self._resumed.set_off()
+        self._resumed.notify_all()
 
     async def wait_while_paused(self) -> None:
         """Wait while the process is paused."""
--- a/packages/sesamepoint/src/sesamepoint/agent/tree.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/children.py
@@ -1,10 +1,10 @@
-"""The supervised parts of an agent, whatever carries its links."""
+"""Supervised children of an agent, for any transport of its links."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from sesamepoint.agent.orders import OrderExecutor
+from sesamepoint.agent.order_executor import OrderExecutor
 from sesamepoint.supervisor import Child
 
 if TYPE_CHECKING:
@@ -12,13 +12,13 @@
 
 
 def agent_children(agent: Agent) -> list[Child]:
-    """Return the parts that every agent runs."""
+    """Return the children that every agent runs."""
     return [
         Child('follower', agent.follower.follow),
         Child('attempts', agent.serve_attempts),
-        Child('keys', agent.homes.run),
-        Child('load', agent.watch_load),
-        Child('tidy', agent.tidy),
+        Child('keys', agent.coordinators.run),
+        Child('load', agent.poll_load),
+        Child('tidy', agent.prune_attempts),
         Child('orders', OrderExecutor(agent).execute),
     ]
 
--- a/packages/sesamepoint/src/sesamepoint/control/follower.py
+++ b/packages/sesamepoint/src/sesamepoint/control/follower.py
@@ -1,4 +1,4 @@
-"""Following the control log: the one way to know what is agreed."""
+"""Reader and writer of the control log, which holds the state that all processes agree on."""
 
 from __future__ import annotations
 
@@ -7,125 +7,128 @@
 
 import trio
 
-from sesamepoint_core.config.check import in_force
+from sesamepoint_core.config.check import active_configuration
 from sesamepoint_core.errors import HistoryLostError, PlatformUnavailableError
 from sesamepoint_core.fold.apply import apply
+from sesamepoint_core.fold.record_outcome import Rejected
 from sesamepoint_core.fold.records import encode
-from sesamepoint_core.fold.snapshot import Snapshot, choose, decode_snapshot, encode_snapshot
+from sesamepoint_core.fold.snapshot import Snapshot, choose_snapshot, decode_snapshot, encode_snapshot
 from sesamepoint_core.fold.state import State
-from sesamepoint_core.fold.verdict import Rejected
 from sesamepoint import events
-from sesamepoint.control.signal import Signal
+from sesamepoint.control.notifier import Notifier
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable, Sequence
     from random import Random
 
-    from sesamepoint_core.config.model import InForce
+    from sesamepoint_core.config.model import ActiveConfiguration
+    from sesamepoint_core.fold.record_outcome import RecordOutcome
     from sesamepoint_core.fold.records import Body
-    from sesamepoint_core.fold.verdict import Verdict
     from sesamepoint.platform.service_interfaces import LogRecord, LogService
 
-POLL_WAIT_S = 5.0
-RETRY_S = 0.5
-READ_GAP_S = 1.0
-KEPT_RECORDS = 512
-LAST_SNAPSHOTS = 4
-BEYOND_END = 9_007_199_254_740_992
+POLL_TIMEOUT_S = 5.0
+RETRY_INTERVAL_S = 0.5
+READ_INTERVAL_S = 1.0
+MAX_RECENT_RECORDS = 512
+SNAPSHOTS_READ = 4
+OFFSET_BEYOND_END = 9_007_199_254_740_992
 
 
 class Follower:
-    """Folds a deployment's control stream and appends to it.
+    """Folds the records of a deployment's control stream into a state, and appends records.
 
     Parameters
     ----------
     log
         The platform's log.
     deployment
-        Whose stream to follow.
+        Name of the deployment whose stream is followed.
     writer
-        This process's incarnation.
+        Incarnation of this process; it identifies the writer of a record.
     rng
-        For the jitter of repeated calls.
+        Source of the jitter between retries.
     """
 
     def __init__(self, log: LogService, deployment: str, writer: str, rng: Random) -> None:
-        """Start with nothing known."""
+        """Start from the empty state."""
         self.state = State.empty()
         self.writer = writer
-        self.changed = Signal()
+        self.changed = Notifier()
         self.recovered = trio.Event()
-        self.heard_at = float('-inf')
+        self.last_read_at = float('-inf')
         self._log = log
         self._stream = f'control.{deployment}'
         self._snapshots = f'snapshots.{deployment}'
         self._rng = rng
-        self._recent: deque[tuple[int, bytes]] = deque(maxlen=KEPT_RECORDS)
-        self._appending = trio.Lock()
-        self._serial = 0
-        self._verdicts: dict[int, Verdict] = {}
+        self._recent_records: deque[tuple[int, bytes]] = deque(maxlen=MAX_RECENT_RECORDS)
+        self._append_lock = trio.Lock()
+        self._last_serial = 0
+        self._outcomes: dict[int, RecordOutcome] = {}
         self._reachable = True
 
     @property
-    def in_force(self) -> InForce:
-        """What governs, as far as this process knows.
+    def active_configuration(self) -> ActiveConfiguration:
+        """The active configuration in the state folded so far.
 
         Raises
         ------
         NotConfiguredError
-            If nothing was published.
+            If no configuration has been published.
         """
-        return in_force(self.state)
+        return active_configuration(self.state)
 
     @property
-    def silence_s(self) -> float:
-        """Seconds since the log last answered a read."""
-        return trio.current_time() - self.heard_at
+    def since_last_read_s(self) -> float:
+        """Seconds since the last successful read of the log."""
+        return trio.current_time() - self.last_read_at
 
     def records_after(self, offset: int) -> tuple[tuple[int, bytes], ...]:
-        """Return the records behind ``offset``, if none of them is gone."""
-        if not self._recent or self._recent[0][0] > offset + 1:
+        """Return the records after ``offset``; empty if some are no longer held in memory."""
+        if not self._recent_records or self._recent_records[0][0] > offset + 1:
             return ()
-        return tuple(record for record in self._recent if record[0] > offset)
+        return tuple(record for record in self._recent_records if record[0] > offset)
 
-    def learn(self, records: Iterable[tuple[int, bytes]]) -> None:
-        """Fold records that a peer handed over.
+    def apply_peer_records(self, records: Iterable[tuple[int, bytes]]) -> None:
+        """Fold records that a peer sent.
 
-        The records are the log's own, so a peer adds nothing of its own;
-        one that does not follow on directly is left for the log to give.
+        Peers forward records of the log unchanged. A record that does not
+        directly follow the last folded one is skipped and read from the log
+        later.
         """
         for offset, payload in records:
             if offset == self.state.offset + 1:
-                self._fold(offset, payload)
+                self._apply_record(offset, payload)
 
     async def follow(self) -> None:
-        """Recover, then fold what comes, until cancelled."""
-        while not await self._try(self._recover):
+        """Recover the state, then fold new records until cancelled."""
+        while not await self._try_step(self._recover):
             await trio.lowlevel.checkpoint()
         self.recovered.set()
-        self.changed.set_off()
+        self.changed.notify_all()
         events.log_event(events.STATE_RECOVERED, offset=self.state.offset, version=self.state.version)
         while True:
-            await self._try(self._read_on)
-            # Leases are renewed several times a second somewhere. Read one by
-            # one, their records would cost every process, and the log, a
-            # call each; gathered for a second they cost one.
-            await trio.sleep(READ_GAP_S)
-
-    async def submit(self, body: Body) -> Verdict:
-        """Append ``body`` and return what the fold made of it.
-
-        Waits for as long as the log is away; wrap it in a cancel scope to
-        give up. What was given up may still take effect later.
+            await self._try_step(self._read_next)
+            # Across the deployment, leases are renewed several times a second.
+            # Reading once a second batches these records: otherwise each
+            # record would cost each process, and the log, a call.
+            await trio.sleep(READ_INTERVAL_S)
+
+    async def submit(self, body: Body) -> RecordOutcome:
+        """Append ``body`` and return its outcome once it is folded.
+
+        Retries for as long as the log is unavailable; wrap the call in a
+        cancel scope to set a timeout. A cancelled record may still take
+        effect later.
         """
-        # One at a time: the fold drops a serial that comes after a later one,
-        # so two at once could lose the one that has to be appended again.
-        async with self._appending:
-            self._serial += 1
-            return await self._settle(self._serial, encode(self.writer, self._serial, body))
+        # One append at a time: the fold drops a record whose serial is lower
+        # than one already seen, so of two concurrent appends one that has to
+        # be retried could be lost.
+        async with self._append_lock:
+            self._last_serial += 1
+            return await self._append_until_applied(self._last_serial, encode(self.writer, self._last_serial, body))
 
     async def write_snapshot(self, fence: int) -> None:
-        """Append the fold as it stands to the snapshot stream.
+        """Append the current state to the snapshot stream.
 
         Raises
         ------
@@ -135,7 +138,7 @@
         await self._log.append(self._snapshots, encode_snapshot(Snapshot(fence, self.state)))
 
     async def read_to_end(self) -> None:
-        """Fold up to the end that the log has now.
+        """Fold all records up to the current end of the log.
 
         Raises
         ------
@@ -143,42 +146,42 @@
             If the log is away.
         """
         page = await self._log.read(self._stream, self.state.offset + 1, 0)
-        self._take(page.records)
+        self._apply_records(page.records)
         while self.state.offset + 1 < page.end:
             page = await self._log.read(self._stream, self.state.offset + 1, 0)
-            self._take(page.records)
+            self._apply_records(page.records)
 
-    async def _settle(self, serial: int, payload: bytes) -> Verdict:
-        while serial not in self._verdicts:
-            wait_s = RETRY_S
+    async def _append_until_applied(self, serial: int, payload: bytes) -> RecordOutcome:
+        while serial not in self._outcomes:
+            wait_s = RETRY_INTERVAL_S
             try:
-                await self._append(payload)
+                await self._append_and_read(payload)
             except PlatformUnavailableError:
-                # The append may have taken effect and only its reply be
-                # lost. Wait for the fold to show it, then append the same
-                # serial again: if both land, the fold counts one.
-                wait_s = RETRY_S * (1 + self._rng.random())
-            await self._wait_for(serial, wait_s)
-        return self._verdicts.pop(serial)
-
-    async def _append(self, payload: bytes) -> None:
+                # The append may have succeeded with only its reply lost.
+                # Wait for the record to be folded before appending it again
+                # under the same serial; the fold ignores a duplicate.
+                wait_s = RETRY_INTERVAL_S * (1 + self._rng.random())
+            await self._wait_for_outcome(serial, wait_s)
+        return self._outcomes.pop(serial)
+
+    async def _append_and_read(self, payload: bytes) -> None:
         await self._log.append(self._stream, payload)
         await self.read_to_end()
 
-    async def _wait_for(self, serial: int, wait_s: float) -> None:
+    async def _wait_for_outcome(self, serial: int, wait_s: float) -> None:
         with trio.move_on_after(wait_s):
-            while serial not in self._verdicts:
+            while serial not in self._outcomes:
                 await self.changed.wait()
 
-    async def _try(self, step: Callable[[], Awaitable[None]]) -> bool:
-        """Take a step that reads the log; tell whether the log answered."""
+    async def _try_step(self, step: Callable[[], Awaitable[None]]) -> bool:
+        """Run ``step``, which reads the log; return whether the log was available."""
         try:
             await step()
         except PlatformUnavailableError as exc:
-            self._note_reachable(reachable=False, cause=str(exc))
-            await trio.sleep(RETRY_S * (1 + self._rng.random()))
+            self._set_reachable(reachable=False, cause=str(exc))
+            await trio.sleep(RETRY_INTERVAL_S * (1 + self._rng.random()))
             return False
-        self._note_reachable(reachable=True, cause='')
+        self._set_reachable(reachable=True, cause='')
         return True
 
     async def _recover(self) -> None:
@@ -188,50 +191,51 @@
         wanted = self.state.offset + 1
         page = await self._log.read(self._stream, wanted, 0)
         if page.earliest > wanted:
-            # To start from the earliest record kept would be to guess: a
-            # version, a lease or a standing order may have been trimmed.
+            # Starting from the earliest record left could miss a version, a
+            # lease or a pending order that has been trimmed.
             events.log_event(events.HISTORY_LOST, wanted=wanted, earliest=page.earliest)
             raise HistoryLostError(wanted, page.earliest)
         await self.read_to_end()
 
     async def _newest_snapshot(self) -> State | None:
-        """Return the best of the last few snapshots.
+        """Return the state of the best of the last few snapshots.
 
-        A day of them would be tens of megabytes for each process that
-        restarts; a former holder that woke up adds one or two at most.
+        Only the last few are read, since a day of snapshots would be tens of
+        megabytes for each process that restarts. A former lease holder that
+        resumes late adds one or two outdated snapshots at most.
         """
-        end = (await self._log.read(self._snapshots, BEYOND_END, 0)).end
-        page = await self._log.read(self._snapshots, max(end - LAST_SNAPSHOTS, 0), 0)
-        chosen = choose(decode_snapshot(record.payload) for record in page.records)
+        end = (await self._log.read(self._snapshots, OFFSET_BEYOND_END, 0)).end
+        page = await self._log.read(self._snapshots, max(end - SNAPSHOTS_READ, 0), 0)
+        chosen = choose_snapshot(decode_snapshot(record.payload) for record in page.records)
         return None if chosen is None else chosen.state
 
-    async def _read_on(self) -> None:
-        page = await self._log.read(self._stream, self.state.offset + 1, POLL_WAIT_S)
+    async def _read_next(self) -> None:
+        page = await self._log.read(self._stream, self.state.offset + 1, POLL_TIMEOUT_S)
         if page.earliest > self.state.offset + 1:
             await self._recover()
-            self.changed.set_off()
-        self._take(page.records)
+            self.changed.notify_all()
+        self._apply_records(page.records)
 
-    def _take(self, records: Sequence[LogRecord]) -> None:
-        self.heard_at = trio.current_time()
+    def _apply_records(self, records: Sequence[LogRecord]) -> None:
+        self.last_read_at = trio.current_time()
         for record in records:
             if record.offset == self.state.offset + 1:
-                self._fold(record.offset, record.payload)
+                self._apply_record(record.offset, record.payload)
 
-    def _fold(self, offset: int, payload: bytes) -> None:
-        before = self.state.version
+    def _apply_record(self, offset: int, payload: bytes) -> None:
+        previous_version = self.state.version
         step = apply(self.state, offset, payload)
         self.state = step.state
-        self._recent.append((offset, payload))
+        self._recent_records.append((offset, payload))
         if step.record is not None and step.record.writer == self.writer:
-            self._verdicts.setdefault(step.record.serial, step.verdict)
-        if isinstance(step.verdict, Rejected):
-            events.log_event(events.RECORD_REJECTED, offset=offset, code=step.verdict.code, reason=step.verdict.reason)
-        if self.state.version != before:
+            self._outcomes.setdefault(step.record.serial, step.outcome)
+        if isinstance(step.outcome, Rejected):
+            events.log_event(events.RECORD_REJECTED, offset=offset, code=step.outcome.code, reason=step.outcome.reason)
+        if self.state.version != previous_version:
             events.log_event(events.CONFIGURATION_APPLIED, version=self.state.version, offset=offset)
-        self.changed.set_off()
+        self.changed.notify_all()
 
-    def _note_reachable(self, *, reachable: bool, cause: str) -> None:
+    def _set_reachable(self, *, reachable: bool, cause: str) -> None:
         if reachable != self._reachable:
             event = events.LOG_REACHABLE if reachable else events.LOG_UNREACHABLE
             events.log_event(event, cause=cause)
--- a/packages/sesamepoint/src/sesamepoint/events.py
+++ b/packages/sesamepoint/src/sesamepoint/events.py
@@ -136,7 +136,7 @@
 
 
 def log_event(event: Event, **fields: Any) -> None:
-    """Log one line for ``event`` with ``field_types``."""
+    """Log one line for ``event`` with ``fields``."""
     _logger.log(event.level, event.text, extra={'event': event.number, **fields})
 
 
--- a/packages/sesamepoint/src/sesamepoint/front/engine_subset.py
+++ b/packages/sesamepoint/src/sesamepoint/front/engine_subset.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from sesamepoint_core.route.subset import is_known
+from sesamepoint_core.route.subset import in_subset
 from sesamepoint_core.serving.runner import Stage
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         return min(SUBSET_ENGINES / size, 1) if size else 1
 
     def _in_subset_of(self, instance_id: str, runner: Runner) -> bool:
-        return is_known(instance_id, runner.key, self._fleet_size(runner), SUBSET_ENGINES)
+        return in_subset(instance_id, runner.key, self._fleet_size(runner), SUBSET_ENGINES)
 
     def _fleet_size(self, runner: Runner) -> int:
         """Return how many engines its service has for its stage; 0 for a plain service, which all instances use."""
--- a/packages/sesamepoint/src/sesamepoint/http1/client.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/client.py
@@ -45,7 +45,7 @@
     def start_request(self, head: RequestHead, body: bytes) -> bytes:
         """Start a request and return its bytes for :meth:`send`.
 
-        ``read_head`` must contain the length of ``body``. If ``admit`` raises, its
+        ``head`` must contain the length of ``body``. If ``admit`` raises, its
         error is passed on and the connection is unchanged.
         """
         if self.admit is not None:
--- a/packages/sesamepoint/src/sesamepoint/keys/messages.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/messages.py
@@ -5,12 +5,12 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sesamepoint_core.keys.fold import Claim
-from sesamepoint.link.messages import End
+from sesamepoint_core.keys.claims import Claim
+from sesamepoint.link.messages import AttemptOutcome
 
 
-class Standing(Enum):
-    """How a key stands for the request that asks."""
+class KeyStatus(Enum):
+    """Status of a key for the request that claims it."""
 
     granted = 'granted'
     running = 'running'
@@ -21,7 +21,7 @@
 
 
 class ClaimRequest(NamedTuple):
-    """Ask for the right to run, or for what became of the run."""
+    """Claim a key, or ask for the outcome of the run under it."""
 
     shard: int
     claim: Claim
@@ -29,28 +29,28 @@
 
 
 class ClaimReply(NamedTuple):
-    """How the key stands; with the kept answer if it is done."""
+    """Status of the key, with the stored answer if the run is done."""
 
-    standing: Standing
-    end: End = End.unknown
+    status: KeyStatus
+    outcome: AttemptOutcome = AttemptOutcome.unknown
     code: str = ''
     chunks: tuple[bytes, ...] = ()
 
 
 class SettleRequest(NamedTuple):
-    """Tell the home how the owner's run ended."""
+    """Report how the owner's run ended."""
 
     shard: int
     claim: Claim
-    end: End
+    outcome: AttemptOutcome
     code: str
     chunks: tuple[bytes, ...]
 
 
 class SettleReply(NamedTuple):
-    """The home's receipt."""
+    """Reply to a report: whether an answer is stored under the key."""
 
-    kept: bool
+    stored: bool
 
 
-__all__ = ('ClaimReply', 'ClaimRequest', 'SettleReply', 'SettleRequest', 'Standing')
+__all__ = ('ClaimReply', 'ClaimRequest', 'KeyStatus', 'SettleReply', 'SettleRequest')
--- a/packages/sesamepoint/src/sesamepoint/platform/http_log.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/http_log.py
@@ -49,7 +49,7 @@
         return msgspec.json.decode(reply, type=AppendReply).offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
-        """Return the records from offset ``incarnation`` on."""
+        """Return the records from offset ``start`` on."""
         path = f'/streams/{stream}?from={start}&wait_ms={int(wait_s * MS_PER_S)}'
         reply = await self._client.request('GET', path, b'', wait_s + CALL_TIMEOUT_S)
         page = msgspec.json.decode(reply, type=ReadReply)
--- a/packages/sesamepoint/src/sesamepoint/platform/store.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/store.py
@@ -123,12 +123,12 @@
             query['after'] = records[-1].key
 
     async def follow(self, topic: str, start: int, wait_s: float) -> TopicRecords:
-        """Return the records from ``incarnation`` on; wait up to ``wait_s`` for the first.
+        """Return the records from ``start`` on; wait up to ``wait_s`` for the first.
 
         Raises
         ------
         HistoryGoneError
-            If the records at ``incarnation`` were deleted or never existed.
+            If the records at ``start`` were deleted or never existed.
         PlatformUnavailableError
             If the store did not respond.
         """
@@ -138,9 +138,9 @@
         if len(text) < _TWO_OFFSETS.size:
             raise PlatformUnavailableError('store', 'the reply has no offsets')
         if _TWO_OFFSETS.unpack_from(text)[0] < start:
-            # The log ends before ``incarnation``: the store was restored from an
+            # The log ends before ``start``: the store was restored from an
             # older copy, or a peer announced an offset that never existed.
-            # Waiting for ``incarnation`` would miss all further updates.
+            # Waiting for ``start`` would miss all further updates.
             raise HistoryGoneError
         records = _split_records(text[_TWO_OFFSETS.size :])
         readable = (_decode_record(topic, record) for record in records)
--- a/packages/sesamepoint/src/sesamepoint/process/front_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/front_process.py
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_config(cls, path: Path) -> FrontProcess:
-        """Build the process from the settings file ``placement``, which may change later."""
+        """Build the process from the settings file ``path``, which may change later."""
         return cls(path, read_settings(path))
 
     @property
--- a/packages/sesamepoint/src/sesamepoint/supervisor.py
+++ b/packages/sesamepoint/src/sesamepoint/supervisor.py
@@ -21,7 +21,7 @@
 class Child(NamedTuple):
     """A component of a process.
 
-    ``incarnation`` runs until cancelled; if it returns, the component is finished.
+    ``start`` runs until cancelled; if it returns, the component is finished.
     """
 
     name: str
--- a/tests/core/test_apply.py
+++ b/tests/core/test_apply.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from sesamepoint_core.fold.record_outcome import Accepted, Rejected, Repeated
 from sesamepoint_core.fold.records import ClaimLease, Order, OrderDone, Publish, RenewLease, SwitchPreset, encode
-from sesamepoint_core.fold.verdict import Accepted, Rejected, Repeated
-from tests.builders import FoldBuilder, publish
+from tests.builders import StateBuilder, publish
 
 FLEET = 'verdict-llm'
 
@@ -25,50 +25,50 @@
         # Two operators publish on top of version 1. The first record on the log
         # is accepted. The other one is rejected, since its file lacks the accepted
         # change; the rejection names the other operator and a remedy.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         first = fold.add(publish(1, operator='bikash'), writer='b')
         second = fold.add(publish(1, operator='chandra'), writer='c')
-        self.assertIsInstance(first.verdict, Accepted)
-        assert isinstance(second.verdict, Rejected)
-        self.assertEqual(second.verdict.code, 'version_conflict')
-        self.assertIn('bikash', second.verdict.reason)
-        self.assertIn('sesamectl show', second.verdict.remedy)
+        self.assertIsInstance(first.outcome, Accepted)
+        assert isinstance(second.outcome, Rejected)
+        self.assertEqual(second.outcome.code, 'version_conflict')
+        self.assertIn('bikash', second.outcome.reason)
+        self.assertIn('sesamectl show', second.outcome.remedy)
         self.assertEqual(fold.state.version, 2)
 
     def test_publish_repeated_append(self) -> None:
         # The reply to an append is lost and the operator's tool appends the same
         # record again. The second copy on the log must not create another version.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         payload = encode('tool', 1, publish(0))
         fold.add_payload(payload)
-        self.assertIsInstance(fold.add_payload(payload).verdict, Repeated)
+        self.assertIsInstance(fold.add_payload(payload).outcome, Repeated)
         self.assertEqual(fold.state.version, 1)
 
     def test_publish_invalid_configuration(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         step = fold.add(Publish(0, 'asha', msgspec.Raw(b'{"fleets": 3}')))
-        assert isinstance(step.verdict, Rejected)
-        self.assertEqual(step.verdict.code, 'invalid')
+        assert isinstance(step.outcome, Rejected)
+        self.assertEqual(step.outcome.code, 'invalid')
         self.assertEqual(fold.state.version, 0)
 
     def test_switch_unknown_preset(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         step = fold.add(SwitchPreset(1, 'asha', 'festival'))
-        assert isinstance(step.verdict, Rejected)
+        assert isinstance(step.outcome, Rejected)
         self.assertEqual(fold.state.preset, 'ordinary')
 
     def test_switch_from_current_version(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         fold.add(SwitchPreset(1, 'asha', 'peak'))
         self.assertEqual((fold.state.version, fold.state.preset), (2, 'peak'))
 
     def test_unreadable_record(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         step = fold.add_payload(b'\xff not ours')
-        assert isinstance(step.verdict, Rejected)
+        assert isinstance(step.outcome, Rejected)
         self.assertEqual(fold.state.offset, 0)
 
 
@@ -79,38 +79,38 @@
         # A process claims the lease because it has seen no renewal, but a renewal
         # precedes the claim on the log. The claim must be rejected, or there would
         # be two valid holders.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
         fold.add(RenewLease(FLEET, 0), writer='a')
         step = fold.add(ClaimLease(FLEET, 'b', 0), writer='b')
-        assert isinstance(step.verdict, Rejected)
+        assert isinstance(step.outcome, Rejected)
         self.assertEqual(fold.state.leases[FLEET].holder, 'a')
 
     def test_order_of_former_holder(self) -> None:
         # A holder is paused, another process claims its lease, then the first one
         # resumes and appends a prepared order. No engine may receive that order.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
         fold.add(ClaimLease(FLEET, 'b', 1), writer='b')
         step = fold.add(order(fence=1, version=1), writer='a')
-        assert isinstance(step.verdict, Rejected)
-        self.assertEqual(step.verdict.code, 'fenced')
+        assert isinstance(step.outcome, Rejected)
+        self.assertEqual(step.outcome.code, 'fenced')
         self.assertEqual(fold.state.orders, {})
 
     def test_order_under_superseded_version(self) -> None:
         # An operator switches the preset while an order is planned under the previous
         # one. The order is appended after the switch and must have no effect.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
         fold.add(SwitchPreset(1, 'asha', 'maintenance'), writer='tool')
         step = fold.add(order(fence=1, version=1), writer='a')
-        assert isinstance(step.verdict, Rejected)
-        self.assertEqual(step.verdict.code, 'superseded')
+        assert isinstance(step.outcome, Rejected)
+        self.assertEqual(step.outcome.code, 'superseded')
 
     def test_order_done_for_older_order(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         fold.add(publish(0))
         fold.add(ClaimLease(FLEET, 'a', -1), writer='a')
         fold.add(order(fence=1, version=1), writer='a')
--- a/tests/core/test_snapshot.py
+++ b/tests/core/test_snapshot.py
@@ -4,8 +4,8 @@
 
 from unittest import TestCase
 
-from sesamepoint_core.fold.snapshot import Snapshot, choose, decode_snapshot, encode_snapshot
-from tests.builders import FoldBuilder, publish
+from sesamepoint_core.fold.snapshot import Snapshot, choose_snapshot, decode_snapshot, encode_snapshot
+from tests.builders import StateBuilder, publish
 
 
 class SnapshotTest(TestCase):
@@ -15,19 +15,19 @@
         # A former lease holder is suspended, its successor writes a snapshot, then
         # the former one resumes and writes its old state last. A process that joins
         # must not start from the old state.
-        fold = FoldBuilder()
+        fold = StateBuilder()
         old = Snapshot(3, fold.add(publish(0)).state)
         new = Snapshot(9, fold.add(publish(1)).state)
-        self.assertEqual(choose([new, old]), new)
-        self.assertEqual(choose([old, new]), new)
+        self.assertEqual(choose_snapshot([new, old]), new)
+        self.assertEqual(choose_snapshot([old, new]), new)
 
     def test_choose_longer_prefix(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         short = Snapshot(3, fold.add(publish(0)).state)
         longer = Snapshot(3, fold.add(publish(1)).state)
-        self.assertEqual(choose([longer, short]), longer)
+        self.assertEqual(choose_snapshot([longer, short]), longer)
 
     def test_decode_round_trip(self) -> None:
-        fold = FoldBuilder()
+        fold = StateBuilder()
         snapshot = Snapshot(5, fold.add(publish(0)).state)
         self.assertEqual(decode_snapshot(encode_snapshot(snapshot)), snapshot)
--- a/tests/front/limit_faults.py
+++ b/tests/front/limit_faults.py
@@ -63,7 +63,7 @@
         return [f'limit: {runner.key} got {span.requests} in 4 s' for span in over][:1]
 
     def _up_long_enough(self, sender: str, at: float) -> bool:
-        """Return whether the instance at ``instance`` has been up long enough at ``at`` to know a limit."""
+        """Return whether the instance at ``sender`` has been up long enough at ``at`` to know a limit."""
         return at - max(self.instance_starts.get(sender, ()), default=-math.inf) > LIMIT_KNOWN_S
 
     def _max_requests(self, limit_changes: list[LimitChange], at: float) -> float:
--- a/tests/front/poison_requests.py
+++ b/tests/front/poison_requests.py
@@ -44,7 +44,7 @@
 
 
 def end_on_poison(runners: Iterable[RunnerStandIn]) -> list[RunnerStandIn]:
-    """Have each of ``all_runners`` end when it begins to run a poison request; return them."""
+    """Have each of ``runners`` end when it begins to run a poison request; return them."""
     listed = list(runners)
     for runner in listed:
         runner.crash_marker = POISON_BODY
--- a/tests/front/test_accounts.py
+++ b/tests/front/test_accounts.py
@@ -26,7 +26,7 @@
     plain_runner,
     route,
 )
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.bench import PlatformBench
@@ -78,7 +78,7 @@
 class KeyTest(TestCase):
     """Authentication by API keys."""
 
-    @virtual
+    @in_virtual_time
     async def test_known_key_names_its_account(self) -> None:
         """Guard against runners that get the key, or an account name that the caller set."""
         runners = fleet()
@@ -95,7 +95,7 @@
         seen_headers = [run.message.head.headers for runner in runners for run in runner.runs]
         self.assertEqual({header(run_headers, wire_names.AUTHORIZATION) for run_headers in seen_headers}, {None})
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_keys_denied_at_once(self) -> None:
         """Guard against requests with an unknown, missing, malformed or repeated key that run or wait."""
         rejected = (
@@ -117,7 +117,7 @@
                 self.assertLess(answer.took_s, 0.02)
         self.assertEqual([runner.runs for runner in runners], [[], [], [], [], []])
 
-    @virtual
+    @in_virtual_time
     async def test_scheme_ignores_case(self) -> None:
         """Guard against denials because of the case of the scheme; only keys are case-sensitive."""
         async with open_bench(_configuration_with(HARBOR), fleet()) as bench:
@@ -125,7 +125,7 @@
             answer = await bench.new_caller('front-1').send(new_request('/card/a', extra=extra))
         self.assertEqual(answer.status, 200)
 
-    @virtual
+    @in_virtual_time
     async def test_public_route_needs_no_key(self) -> None:
         """Guard against denials on public routes, and against runners that get keys or account names set by callers."""
         routes = [route('thumb', '/thumb/', 'web', 'idempotent', public=True)]
@@ -137,14 +137,14 @@
         self.assertEqual(_accounts_received(runner), [None, None, None])
         self.assertEqual({header(run.message.head.headers, wire_names.AUTHORIZATION) for run in runner.runs}, {None})
 
-    @virtual
+    @in_virtual_time
     async def test_no_accounts_needs_no_key(self) -> None:
         """Guard against denials of callers without keys where the configuration lists no accounts."""
         async with open_bench(configuration(), fleet()) as bench:
             answer = await bench.new_caller('front-1').send(new_request('/card/a'))
         self.assertEqual(answer.status, 200)
 
-    @virtual
+    @in_virtual_time
     async def test_account_priority_overrides_route(self) -> None:
         """Guard against engines that get the priority of the route where the account has one of its own."""
         runners = [engine(1, 'decode')]
@@ -159,7 +159,7 @@
 class KeyChangeTest(TestCase):
     """Keys that are added, moved and revoked."""
 
-    @virtual
+    @in_virtual_time
     async def test_changes_on_a_kept_connection(self) -> None:
         """Guard against instances that keep applying old keys to connections opened before a change."""
         runner = plain_runner(1)
@@ -175,7 +175,7 @@
                     self.assertEqual(answer.status, status)
         self.assertEqual(_accounts_received(runner), [b'marina', b'marina', b'marina', b'harbor', b'harbor', b'harbor'])
 
-    @virtual
+    @in_virtual_time
     async def test_older_configuration_ignored(self) -> None:
         """Guard against revoked keys that work again because the store returns an older configuration."""
         async with open_bench(_configuration_with(HARBOR, version=5), [plain_runner(1)]) as bench:
@@ -186,7 +186,7 @@
             answer = await bench.new_caller('front-1').send(new_request('/card/a', extra=(bearer_header(SECRET),)))
         self.assertEqual(answer.status, 401)
 
-    @virtual
+    @in_virtual_time
     async def test_key_revoked_while_request_waits(self) -> None:
         """Guard against a request that runs although its key was revoked while it waited in the queue.
 
@@ -214,7 +214,7 @@
         self.assertEqual([answer.status for answer in pending.answers], [401])
         self.assertNotIn(b'harbor', _accounts_received(runners[0]))
 
-    @virtual
+    @in_virtual_time
     async def test_key_revoked_while_request_runs(self) -> None:
         """Guard against a running request that is broken off because its key is revoked."""
         runner = plain_runner(1, work_s=0.8)
@@ -224,7 +224,7 @@
             bench.publish(_configuration_with(MARINA, version=2))
         self.assertEqual([answer.status for answer in pending.answers], [200])
 
-    @virtual
+    @in_virtual_time
     async def test_unconfigured_instance_unavailable(self) -> None:
         """Guard against 401 from an instance that has no configuration yet; it must answer 503."""
         async with open_bench(_configuration_with(HARBOR), [plain_runner(1)]) as bench:
@@ -239,7 +239,7 @@
 class SecretTest(TestCase):
     """Secrecy of keys."""
 
-    @virtual
+    @in_virtual_time
     async def test_no_key_in_output(self) -> None:
         """Guard against keys in log lines, metrics or messages to peers after denied, failed and served requests."""
         recorder = LogRecorder()
--- a/tests/front/test_attempt.py
+++ b/tests/front/test_attempt.py
@@ -16,7 +16,7 @@
 from sesamepoint.http1.messages import RequestHead
 from sesamepoint.platform.headers import AttemptHeaders
 from tests.front.builders import permissive_send_check
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from trio.testing import MockClock
@@ -95,7 +95,7 @@
 class AttemptTest(TestCase):
     """Ends of an attempt."""
 
-    @virtual
+    @in_virtual_time
     async def test_first_event_at_silence_timeout(self) -> None:
         """Guard against an attempt that is cancelled by the silence timeout while it sends the head to the caller.
 
--- a/tests/front/test_back_off.py
+++ b/tests/front/test_back_off.py
@@ -20,7 +20,7 @@
 from sesamepoint_standins.platform.status_bounds import back_off_violations
 from tests.front.builders import configuration, new_prompt_request, new_request
 from tests.front.limited_runners import FRONTS, Load, engines, plain_request, plain_runners, send, short_prompt
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -50,7 +50,7 @@
 
 
 async def back_off_under_load(bench: PlatformBench, runners: list[RunnerStandIn], load: Load) -> None:
-    """Send ``load``, and have ``all_runners`` reject all requests and ask for back-off from its second second on."""
+    """Send ``load``, and have ``runners`` reject all requests and ask for back-off from its second second on."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send, bench, Random(1), load)
         await trio.sleep(1)
@@ -58,14 +58,14 @@
 
 
 def start_back_off(runners: list[RunnerStandIn], text: bytes) -> None:
-    """Have ``all_runners`` reject all requests and ask for back-off by a header with ``text``."""
+    """Have ``runners`` reject all requests and ask for back-off by a header with ``text``."""
     for runner in runners:
         runner.faults.rejects = True
         runner.back_off_headers = (text,)
 
 
 def stop_rejecting(runners: list[RunnerStandIn]) -> None:
-    """Have ``all_runners`` accept requests again."""
+    """Have ``runners`` accept requests again."""
     for runner in runners:
         runner.faults.rejects = False
 
@@ -83,7 +83,7 @@
 class BackOffTest(TestCase):
     """Requests that reach a runner during a back-off."""
 
-    @virtual
+    @in_virtual_time
     async def test_engine_back_off(self) -> None:
         """Guard against requests to an engine during the back-off that it asked for."""
         runners = engines(0, 4)
@@ -91,7 +91,7 @@
             await back_off_under_load(bench, runners[:1], Load(short_prompt, 90, DURATION_S))
         self.assertEqual(back_off_violations(runners[0]), [])
 
-    @virtual
+    @in_virtual_time
     async def test_plain_runner_back_off(self) -> None:
         """Guard against requests to a plain runner during the back-off that it asked for."""
         runners = plain_runners(0, 4)
@@ -99,7 +99,7 @@
             await back_off_under_load(bench, runners[:1], Load(plain_request, 90, DURATION_S))
         self.assertEqual(back_off_violations(runners[0], IMMEDIATE_S, 0), [])
 
-    @virtual
+    @in_virtual_time
     async def test_prefill_engine_back_off(self) -> None:
         """Guard against remote prefills and calls to free memory at an engine during a back-off."""
         runners = engines(0, 4)
@@ -109,7 +109,7 @@
         self.assertTrue(runners[-1].status_reports)
         self.assertEqual(back_off_violations(runners[-1], IMMEDIATE_S, 0), [])
 
-    @virtual
+    @in_virtual_time
     async def test_planned_decode_steps(self) -> None:
         """Guard against decode steps at an engine during a back-off that were planned before it."""
         runners = engines(0, 4)
@@ -119,7 +119,7 @@
         self.assertTrue(runners[0].status_reports)
         self.assertEqual(back_off_violations(runners[0], IMMEDIATE_S, 0), [])
 
-    @virtual
+    @in_virtual_time
     async def test_back_off_in_inventory_answer(self) -> None:
         """Guard against an instance that ignores a back-off asked for in the answer to an inventory request."""
         runners = engines(0, 4)
@@ -130,7 +130,7 @@
         self.assertEqual(len({report.instance for report in runners[0].status_reports}), FRONTS)
         self.assertEqual(back_off_violations(runners[0], IMMEDIATE_S, 0), [])
 
-    @virtual
+    @in_virtual_time
     async def test_later_shorter_back_off(self) -> None:
         """Guard against a later answer with a shorter time that shortens a back-off."""
         runners = plain_runners(0, 4)
@@ -140,7 +140,7 @@
             await send(bench, Random(1), Load(plain_request, 90, DURATION_S))
         self.assertEqual(back_off_violations(runners[0], IMMEDIATE_S, 0), [])
 
-    @virtual
+    @in_virtual_time
     async def test_restart_ends_back_off(self) -> None:
         """Guard against a back-off that still applies to a runner after its restart under the same key."""
         runners = plain_runners(0, 4)
@@ -156,7 +156,7 @@
             await send(bench, Random(2), Load(plain_request, 90, 2))
         self.assertGreater(runners[0].count_arrivals(since, math.inf), 20)
 
-    @virtual
+    @in_virtual_time
     async def test_requests_waiting_for_connections(self) -> None:
         """Guard against sends of requests that wait for a connection when their runner asks for back-off."""
         runners = plain_runners(0, 2)
@@ -172,7 +172,7 @@
 class AfterBackOffTest(TestCase):
     """Requests at the end of a back-off."""
 
-    @virtual
+    @in_virtual_time
     async def test_load_grows_gradually(self) -> None:
         """Guard against all waiting requests being sent the moment a back-off ends, and being rejected again."""
         runners = plain_runners(0, 2)
@@ -189,7 +189,7 @@
         self.assertLessEqual(max(first), FEW_REQUESTS)
         self.assertGreater(min(last), 100)
 
-    @virtual
+    @in_virtual_time
     async def test_waits_for_short_back_off(self) -> None:
         """Guard against refusals of requests that can still be on time after a short back-off."""
         runners = plain_runners(0, 1)
@@ -207,7 +207,7 @@
 class AllBackOffTest(TestCase):
     """Answers to callers while all runners of a service back off."""
 
-    @virtual
+    @in_virtual_time
     async def test_refused_at_once(self) -> None:
         """Guard against callers that wait in vain, or all retry at the same time, while all runners back off."""
         for runners, load in (
@@ -236,14 +236,14 @@
 class BackOffValueTest(TestCase):
     """Unusual texts in the back-off header."""
 
-    @virtual
+    @in_virtual_time
     async def test_malformed_values(self) -> None:
         """Guard against ejected runners, or instances that fail, because of a text that is not a time."""
         for text in (b'', b'0', b'-1', b'nan', b'inf', b'1e9', b'Thu, 03 Dec 2026 11:00:00 GMT', b'yes', b'\xff'):
             with self.subTest(text=text):
                 self.assertGreater(await self._requests_after_back_off((text,)), FEW_REQUESTS)
 
-    @virtual
+    @in_virtual_time
     async def test_long_values(self) -> None:
         """Guard against a back-off of a day or more that ends before its runner does."""
         for texts in ((b'86400',), (b'9' * 400,), (b'nan', b'86400', b'-1')):
@@ -267,7 +267,7 @@
 class PeerBackOffTest(TestCase):
     """Other instances during a back-off that one instance was asked for."""
 
-    @virtual
+    @in_virtual_time
     async def test_peers_choose_other_runners(self) -> None:
         """Guard against every instance sending a request to an engine that rejects all, because only one knows."""
         runners = engines(0, 4)
@@ -278,7 +278,7 @@
             sum(report.reported_at < first_at + float(BACK_OFF_HEADER) for report in runners[0].status_reports), FRONTS
         )
 
-    @virtual
+    @in_virtual_time
     async def test_only_runner_used_despite_peer_back_off(self) -> None:
         """Guard against refusals by an instance that was not asked for back-off itself and has only this runner."""
         runners = plain_runners(0, 1)
@@ -291,7 +291,7 @@
             answer = await bench.new_caller('front-2').send(plain_request())
         self.assertEqual(answer.status, STATUS_OK)
 
-    @virtual
+    @in_virtual_time
     async def test_peer_back_off_ends(self) -> None:
         """Guard against a runner that other instances exclude after the back-off of one instance has ended."""
         runners = plain_runners(0, 4)
--- a/tests/front/test_bad_input.py
+++ b/tests/front/test_bad_input.py
@@ -8,7 +8,7 @@
 
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import HOST, configuration, fleet
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 HEAD = f'POST /card/a HTTP/1.1\r\nHost: {HOST}\r\nSesamepoint-Request-Id: q1\r\n'
 
@@ -33,7 +33,7 @@
 class BadInputTest(TestCase):
     """Malformed, oversized and smuggled requests."""
 
-    @virtual
+    @in_virtual_time
     async def test_reject_two_lengths(self) -> None:
         """Guard against request smuggling by a request with two lengths.
 
@@ -44,7 +44,7 @@
             self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 400'))
             self.assertEqual(run_count(bench), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_reject_long_body(self) -> None:
         """Guard against runners that get a body over the configured size."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -52,7 +52,7 @@
             self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 413'))
             self.assertEqual(run_count(bench), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_reject_long_head(self) -> None:
         """Guard against runners that get a head over the configured size."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -60,13 +60,13 @@
             self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 431'))
             self.assertEqual(run_count(bench), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_reject_no_http(self) -> None:
         """Guard against a connection without an answer after bytes that are not HTTP."""
         async with open_bench(configuration(), fleet()) as bench:
             self.assertTrue((await send_raw(bench, 'nonsense\r\n\r\n')).startswith(b'HTTP/1.1 400'))
 
-    @virtual
+    @in_virtual_time
     async def test_reject_malformed_counts(self) -> None:
         """Guard against runners that get a token count that is not a number."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -74,7 +74,7 @@
             self.assertTrue((await send_raw(bench, raw)).startswith(b'HTTP/1.1 400'))
             self.assertEqual(run_count(bench), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_hidden_request_in_body(self) -> None:
         """Guard against a body that is parsed as a second request."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -82,7 +82,7 @@
             await send_raw(bench, f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}')
             self.assertEqual(run_count(bench), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_listed_headers_kept(self) -> None:
         """Guard against a Connection header that makes the instance remove the request id."""
         async with open_bench(configuration(), fleet()) as bench:
--- a/tests/front/test_burst.py
+++ b/tests/front/test_burst.py
@@ -25,7 +25,7 @@
     run_burst,
     served_share,
 )
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 IMMEDIATE_S = 0.05
 SETTLE_S = 0.5
@@ -43,7 +43,7 @@
 class BurstTest(TestCase):
     """What callers get in a burst, for three seeds."""
 
-    @virtual
+    @in_virtual_time
     async def test_burst_refusals(self) -> None:
         """Requests that can't be served are refused immediately, with a retry-after time within the deadline.
 
@@ -75,7 +75,7 @@
         self.assertGreater(immediate, 0.75 * refused)
         self.assertLessEqual(unanswered, 1)
 
-    @virtual
+    @in_virtual_time
     async def test_burst_queued_against_sent_at_once(self) -> None:
         """Queued at the instance, requests reach engines in the order of what can be on time.
 
@@ -94,7 +94,7 @@
             short_shares.append(served_share(short_at_once, SHORT_TARGET_S))
         self.assertLess(sum(short_shares) / len(short_shares), 0.8)
 
-    @virtual
+    @in_virtual_time
     async def test_burst_caller_retries(self) -> None:
         """Guards against refusing the one retry that each refused caller makes while the burst lasts.
 
@@ -116,7 +116,7 @@
         self.assertGreater(served_share(detected, LONG_TARGET_S), 0.9 * served_share(undetected, LONG_TARGET_S))
         self.assertGreater(served_share(detected, LONG_TARGET_S), 0.13)
 
-    @virtual
+    @in_virtual_time
     async def test_burst_leaves_no_backlog(self) -> None:
         """Guards against requests that still count as queued after the last one has left.
 
--- a/tests/front/test_connection_resets.py
+++ b/tests/front/test_connection_resets.py
@@ -16,7 +16,7 @@
 from sesamepoint.front import retries
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import configuration, fleet, new_prompt_request, new_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.caller import CallerAnswer, RequestSpec
@@ -87,12 +87,12 @@
 class ConnectionResetTest(TestCase):
     """Resets of each kind of connection, for each kind of request, at all stages."""
 
-    @virtual
+    @in_virtual_time
     async def test_caller_connections(self) -> None:
         """The caller's connection breaks, and the caller may retry over a new one."""
         await self._reset_at_all_times((CALLER_PREFIX,))
 
-    @virtual
+    @in_virtual_time
     async def test_runner_connections(self) -> None:
         """The caller gets an answer, and a successful one if another runner may run the request."""
         for kind, answer in await self._reset_at_all_times(RUNNER_PREFIXES, further_pauses_s=()):
@@ -100,24 +100,24 @@
             if kind.repeatable:
                 self.assertEqual((answer.status, answer.complete), (STATUS_OK, True), kind)
 
-    @virtual
+    @in_virtual_time
     async def test_runner_connections_twice(self) -> None:
         """The connection of the second attempt is reset too; there is no third attempt, but an answer."""
         for kind, answer in await self._reset_at_all_times(RUNNER_PREFIXES):
             self.assertTrue(answer.complete or answer.status == STATUS_OK, kind)
 
-    @virtual
+    @in_virtual_time
     async def test_store_connections(self) -> None:
         """Callers are not affected."""
         for kind, answer in await self._reset_at_all_times((STORE_PREFIX,)):
             self.assertEqual((answer.status, answer.complete), (STATUS_OK, True), kind)
 
-    @virtual
+    @in_virtual_time
     async def test_all_connections(self) -> None:
         """All connections are reset at once, as when the link of an instance flaps."""
         await self._reset_at_all_times((CALLER_PREFIX, *RUNNER_PREFIXES, STORE_PREFIX))
 
-    @virtual
+    @in_virtual_time
     async def test_faulty_variant_repeats_all(self) -> None:
         """The checks fail if a front retries a request that may run only once."""
         with patch.object(retries, 'repeatable', _always_true), self.assertRaises(ExceptionGroup):
--- a/tests/front/test_invalid_records.py
+++ b/tests/front/test_invalid_records.py
@@ -21,7 +21,7 @@
 from sesamepoint.platform.wire_names import INSTANCE_TOPIC, OPERATOR_KEY, OPERATOR_TOPIC, QUARANTINE_TOPIC, RUNNER_TOPIC
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import configuration, encoded_configuration, fleet, new_request, registration
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 # A registration that lacks one of these fields is invalid.
 REQUIRED_FIELDS = ('service', 'address', 'zone', 'version', 'slots', 'state', 'cold_remaining_ms', 'sequence')
@@ -148,7 +148,7 @@
 class InvalidRecordsInStoreTest(TestCase):
     """Invalid records in the store: serving goes on, and valid records stay in force."""
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_registrations(self) -> None:
         """Guards against requests that are sent to, or fail because of, invalid registrations.
 
@@ -165,7 +165,7 @@
             await self._check_served(bench)
             self.assertEqual(bench.runners['i-web1'].runs, [])
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_instances_and_configuration(self) -> None:
         """Invalid bytes under an instance's name and under the operator's key are logged and ignored."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -187,7 +187,7 @@
 class DatagramTest(TestCase):
     """Invalid datagrams on the port for messages from peers."""
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_datagrams(self) -> None:
         """Guards against invalid messages about sends: truncated, foreign, or with figures out of range.
 
@@ -210,7 +210,7 @@
             front.peers.on_datagram(raw)
             self.assertEqual(member.load.streams(trio.current_time()), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_suspect_updates(self) -> None:
         """Guards against requests that become suspect by truncated messages, or by rows with an invalid name or end."""
         good = SuspectUpdate(
@@ -237,7 +237,7 @@
             front.peers.on_datagram(raw)
             self.assertEqual((suspects.all_suspect(), suspects.all_quarantined()), (('c1',), ('c2',)))
 
-    @virtual
+    @in_virtual_time
     async def test_invalid_quarantine_records(self) -> None:
         """Guards against a quarantine by a record that lists no runner ends."""
         async with open_bench(configuration(), fleet()) as bench:
--- a/tests/front/test_peers.py
+++ b/tests/front/test_peers.py
@@ -20,7 +20,7 @@
 from sesamepoint.platform.store import KeyedRecord
 from sesamepoint_standins.platform.bench import front_settings
 from tests.front.test_engine_subset import fleet_of
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 INSTANCES = 40
 
@@ -59,13 +59,13 @@
 class SendAnnouncementTest(TestCase):
     """Which instances receive an announcement."""
 
-    @virtual
+    @in_virtual_time
     async def test_small_fleet_announced_to_all(self) -> None:
         network, _ = await announce_sends(fleet_of(10))
         self.assertEqual(len(network.messages), INSTANCES - 1)
         self.assertEqual({len(messages[0].sends) for messages in network.messages.values()}, {10})
 
-    @virtual
+    @in_virtual_time
     async def test_large_fleet_announced_by_subset(self) -> None:
         """Each instance uses about 24 of 600 engines, and receives announcements of sends to these only."""
         fleet = fleet_of(600)
--- a/tests/front/test_poison_requests.py
+++ b/tests/front/test_poison_requests.py
@@ -38,7 +38,7 @@
     sends_after_detection,
 )
 from tests.front.harmful_faults import run_seed
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.bench import PlatformBench
@@ -81,7 +81,7 @@
 class PoisonRequestTest(TestCase):
     """How often a poison request reaches runners."""
 
-    @virtual
+    @in_virtual_time
     async def test_retried_at_each_instance(self) -> None:
         """Guards against instances that don't know which engines ended under a request sent by a peer.
 
@@ -94,7 +94,7 @@
                 await trio.sleep(RESTART_WAIT_S)
             self.assertLessEqual(sends_after_detection(bench), MAX_SENDS_AFTER_DETECTION)
 
-    @virtual
+    @in_virtual_time
     async def test_sent_to_all_instances_at_once(self) -> None:
         """The request arrives at all instances at the same moment, and does so again when the engines are back."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -105,7 +105,7 @@
             # Each instance sends it twice before the ends are known; then one of them sends a probe for all.
             self.assertEqual((len(bench.crashes), len(poison_sends(bench))), (ENDS_UNTIL_DETECTION, 2 * FRONTS + 1))
 
-    @virtual
+    @in_virtual_time
     async def test_refused_when_quarantined(self) -> None:
         """Three ends quarantine a request: two beside other requests, the third as a probe.
 
@@ -116,7 +116,7 @@
             self.assertGreater(refusal.retry_after_s or 0, 3600)
             self.assertEqual(len(bench.crashes), ENDS_UNTIL_DETECTION)
 
-    @virtual
+    @in_virtual_time
     async def test_released_by_an_operator(self) -> None:
         """An operator drops the record: all instances accept the request again, and its next send is a probe."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -128,7 +128,7 @@
             await ask_concurrently(bench, bench.fronts, poison_prompt())
             self.assertEqual(len(poison_sends(bench)), sends + 1)
 
-    @virtual
+    @in_virtual_time
     async def test_refused_by_new_instance(self) -> None:
         """Guards against a send by an instance that started after the request was quarantined."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -137,7 +137,7 @@
             seen = await ask_new_front(bench)
             self.assertEqual((seen.status, len(poison_sends(bench))), (STATUS_NOT_RUN, sends))
 
-    @virtual
+    @in_virtual_time
     async def test_quarantine_list_loads_slowly(self) -> None:
         """Guards against a send by a new instance that has its configuration and runners before the quarantine list."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -148,7 +148,7 @@
             seen = await ask_new_front(bench)
             self.assertEqual((seen.status, len(poison_sends(bench))), (STATUS_NOT_RUN, sends))
 
-    @virtual
+    @in_virtual_time
     async def test_all_instances_replaced(self) -> None:
         """Guards against a quarantine that is lost with all instances; their replacements read it from the store."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -158,7 +158,7 @@
             seen = await ask_new_front(bench)
             self.assertEqual((seen.status, len(poison_sends(bench))), (STATUS_NOT_RUN, sends))
 
-    @virtual
+    @in_virtual_time
     async def test_suspect_sent_to_new_instance(self) -> None:
         """Two engines have ended; an instance that starts then learns it from its peers and sends only a probe."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -171,7 +171,7 @@
             seen = await bench.new_caller('front-2').send(poison_prompt())
             self.assertLess(seen.took_s, IMMEDIATE_S)
 
-    @virtual
+    @in_virtual_time
     async def test_store_unavailable(self) -> None:
         """The store is down all the time: the instances learn of the ends from each other."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -180,7 +180,7 @@
             await ask_concurrently(bench, bench.fronts, poison_prompt())
             self.assertLessEqual(sends_after_detection(bench), MAX_SENDS_AFTER_DETECTION)
 
-    @virtual
+    @in_virtual_time
     async def test_datagrams_lost(self) -> None:
         """All datagrams between instances are lost: they learn of the quarantine from the store."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -193,7 +193,7 @@
             await ask_concurrently(bench, bench.fronts, poison_prompt())
             self.assertEqual(len(poison_sends(bench)), sends)
 
-    @virtual
+    @in_virtual_time
     async def test_isolated_instance_catches_up(self) -> None:
         """An instance is cut off, as if frozen, while its peers find out; it learns of the quarantine soon after."""
         async with open_bench(configuration(), engines_ending_on_poison(), fronts=FRONTS) as bench:
@@ -211,7 +211,7 @@
             await bench.new_caller(f'front-{FRONTS}').send(poison_prompt())
             self.assertEqual(len(poison_sends(bench)), sends)
 
-    @virtual
+    @in_virtual_time
     async def test_callers_disconnect_before_runner_ends(self) -> None:
         """Guards against ends that are missed because the caller disconnects 0.03 s before the engine ends.
 
@@ -230,7 +230,7 @@
             self.assertLessEqual(len(bench.crashes), ENDS_UNTIL_DETECTION)
             nursery.cancel_scope.cancel()
 
-    @virtual
+    @in_virtual_time
     async def test_plain_runners(self) -> None:
         """The same for a plain service, whose requests may be retried."""
         runners = end_on_poison(plain_runner(number) for number in range(1, ENGINES + 1))
--- a/tests/front/test_queue_triage.py
+++ b/tests/front/test_queue_triage.py
@@ -11,7 +11,7 @@
 from sesamepoint.front.engine_subset import SUBSET_ENGINES
 from sesamepoint.front.queue_triage import MAX_ENGINE_BACKLOG_S, Waiter
 from tests.front.queue_triage_bench import LONG_ROUTE, SHORT_ROUTE, QueueTriageBench
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 PREFILL_QUEUE = QueueKey('llm', Need.prefill)
 
@@ -19,7 +19,7 @@
 class AssessTest(TestCase):
     """The deadline check of a request that arrives while others wait."""
 
-    @virtual
+    @in_virtual_time
     async def test_short_before_long(self) -> None:
         """Guards against refusing a short prompt because of long ones that are due later.
 
@@ -33,7 +33,7 @@
         bench.triage.assess(newcomer, waiting)
         self.assertFalse(newcomer.late)
 
-    @virtual
+    @in_virtual_time
     async def test_long_behind_long(self) -> None:
         """With two engines and 1.2 s of prefill queued, a request that is due in 0.6 s is late."""
         bench = QueueTriageBench()
@@ -42,7 +42,7 @@
         bench.triage.assess(newcomer, waiting)
         self.assertTrue(newcomer.late)
 
-    @virtual
+    @in_virtual_time
     async def test_late_requests_not_counted(self) -> None:
         """Guards against counting work that is already late as ahead of a new request."""
         bench = QueueTriageBench()
@@ -53,7 +53,7 @@
         bench.triage.assess(newcomer, waiting)
         self.assertFalse(newcomer.late)
 
-    @virtual
+    @in_virtual_time
     async def test_requests_queued_at_peers(self) -> None:
         """Work queued at peers counts if it is due no later, and until their report expires."""
         bench = QueueTriageBench()
@@ -77,7 +77,7 @@
 class SubsetShareTest(TestCase):
     """Instances that each use a subset of a large fleet."""
 
-    @virtual
+    @in_virtual_time
     async def test_peer_work_by_subset_share(self) -> None:
         """Guards against refusals because work queued at peers is counted in full.
 
@@ -98,7 +98,7 @@
 class CallerRetryTest(TestCase):
     """Retries of callers: late from the start, and before all others when their latest start time is near."""
 
-    @virtual
+    @in_virtual_time
     async def test_retry_is_late(self) -> None:
         """A retry is late even if no other request waits: its time has run since the first attempt."""
         bench = QueueTriageBench()
@@ -106,7 +106,7 @@
         bench.triage.assess(newcomer, [])
         self.assertTrue(newcomer.late)
 
-    @virtual
+    @in_virtual_time
     async def test_retry_near_latest_start(self) -> None:
         """Guards against retries that are never served, and against sending those that come too late.
 
@@ -125,7 +125,7 @@
             self.assertFalse(first.urgent_retry)
         self.assertEqual(states, [(False, False), (True, False), (True, True)])
 
-    @virtual
+    @in_virtual_time
     async def test_small_work(self) -> None:
         """10 ms of prefill count as small work, 100 ms do not."""
         bench = QueueTriageBench()
@@ -136,7 +136,7 @@
 class PublishTest(TestCase):
     """The report of queued work that is published to peers."""
 
-    @virtual
+    @in_virtual_time
     async def test_published_by_target(self) -> None:
         """Timely and late work is summed by the latency target of its route."""
         bench = QueueTriageBench()
@@ -153,7 +153,7 @@
         }
         self.assertEqual(published, {LONG_ROUTE.target_s: (1, 0.2, 2.0), SHORT_ROUTE.target_s: (1, 0.01, 0)})
 
-    @virtual
+    @in_virtual_time
     async def test_queue_emptied(self) -> None:
         """Guards against refusals because of a request that has left the queue for an engine."""
         bench = QueueTriageBench()
@@ -162,7 +162,7 @@
         bench.triage.publish([])
         self.assertEqual(bench.triage.count_timely(PREFILL_QUEUE), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_wait_includes_late_requests(self) -> None:
         """Late requests here and at peers count as well: 2 s of work for two engines."""
         bench = QueueTriageBench()
--- a/tests/front/test_runner_failures.py
+++ b/tests/front/test_runner_failures.py
@@ -11,7 +11,7 @@
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from sesamepoint_standins.platform.runner import Run
 from tests.front.builders import configuration, engine, fleet, new_prompt_request, new_request, plain_runner
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 
 def runs_of(bench: PlatformBench, request_id: str) -> list[Run]:
@@ -31,7 +31,7 @@
 class PlainRunnerFailureTest(TestCase):
     """Runners of plain services."""
 
-    @virtual
+    @in_virtual_time
     async def test_reset_not_repeatable(self) -> None:
         """Guards against a second run of a non-idempotent request after a connection reset.
 
@@ -45,7 +45,7 @@
             self.assertEqual((await bench.new_caller('front-1').send(req)).status, 502)
             self.assertEqual(len(runs_of(bench, req.request_id)), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_reset_repeatable(self) -> None:
         """The first runner resets the connection; the second answers in its place."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
@@ -55,7 +55,7 @@
                 req = new_request('/thumb/a')
                 self.assertEqual((await bench.new_caller('front-1').send(req)).body, req.expected_body)
 
-    @virtual
+    @in_virtual_time
     async def test_reject_not_repeatable(self) -> None:
         """All runners reject the request and report that they did not run it.
 
@@ -70,7 +70,7 @@
             self.assertIsNotNone(seen.retry_after_s)
             self.assertEqual(runs_of(bench, req.request_id), [])
 
-    @virtual
+    @in_virtual_time
     async def test_reset_then_reject(self) -> None:
         """Guards against a 503 that wrongly claims that the request has not run.
 
@@ -83,7 +83,7 @@
             statuses = {(await bench.new_caller('front-1').send(new_request('/thumb/a'))).status for _ in range(4)}
             self.assertEqual(statuses, {502})
 
-    @virtual
+    @in_virtual_time
     async def test_unsigned_success(self) -> None:
         """A successful answer that no runner signed is not passed on."""
         async with open_bench(configuration(), [plain_runner(1)]) as bench:
@@ -91,7 +91,7 @@
             seen = await bench.new_caller('front-1').send(new_request('/card/a'))
             self.assertEqual((seen.status, seen.has_signature), (502, False))
 
-    @virtual
+    @in_virtual_time
     async def test_second_answer_dropped(self) -> None:
         """Guards against an answer that is delivered to the next request on a kept-alive connection.
 
@@ -105,7 +105,7 @@
                 req = new_request('/card/a')
                 self.assertEqual((await caller.send(req)).body, req.expected_body)
 
-    @virtual
+    @in_virtual_time
     async def test_hang_repeatable(self) -> None:
         """One runner accepts requests and never answers; the other serves them, late."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
@@ -114,7 +114,7 @@
                 req = new_request('/thumb/a')
                 self.assertEqual((await bench.new_caller('front-1').send(req)).body, req.expected_body)
 
-    @virtual
+    @in_virtual_time
     async def test_hang_answered_at_timeout(self) -> None:
         """No runner answers: the caller gets 504 at the route's time-out, not later."""
         async with open_bench(configuration(), [plain_runner(1)]) as bench:
@@ -123,7 +123,7 @@
             self.assertEqual(seen.status, 504)
             self.assertAlmostEqual(seen.took_s, 1.0, delta=0.1)
 
-    @virtual
+    @in_virtual_time
     async def test_address_reused(self) -> None:
         """Guards against a request that runs at another service, which took over a runner's address.
 
@@ -137,7 +137,7 @@
             self.assertEqual(seen.status, 503)
             self.assertEqual(other.runs, [])
 
-    @virtual
+    @in_virtual_time
     async def test_retries_bounded(self) -> None:
         """Guards against retries that double the load while every runner fails every request.
 
@@ -156,7 +156,7 @@
 class StreamFailureTest(TestCase):
     """Engines that fail in the middle of an answer."""
 
-    @virtual
+    @in_virtual_time
     async def test_stream_resumed(self) -> None:
         """Guards against lost, repeated or cut events when an engine breaks off a resumable stream within an event.
 
@@ -169,7 +169,7 @@
             seen = await bench.new_caller('front-1').send(req)
             self.assertEqual((seen.status, seen.body, seen.complete), (200, req.expected_body, True))
 
-    @virtual
+    @in_virtual_time
     async def test_stream_not_resumable(self) -> None:
         """Guards against a broken stream that looks complete, and against a second run of it.
 
@@ -185,7 +185,7 @@
             self.assertTrue(req.expected_body.startswith(seen.body))
             self.assertEqual(len(runs_of(bench, req.request_id)), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_retry_runs_whole(self) -> None:
         """Guards against a second remote prefill when an answer breaks off after the first one.
 
@@ -199,7 +199,7 @@
             arrivals = [run.prefill for standin in bench.runners.values() for run in standin.runs]
             self.assertEqual(sorted(arrivals), [False, False, True])
 
-    @virtual
+    @in_virtual_time
     async def test_prefill_engine_unreachable(self) -> None:
         """The prefill engine accepts no connections; other engines prefill and answer."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -211,7 +211,7 @@
 class CallerDisconnectTest(TestCase):
     """Callers that disconnect before their answer."""
 
-    @virtual
+    @in_virtual_time
     async def test_disconnect_ends_run(self) -> None:
         """Guards against a run that goes on at the runner after its caller has disconnected."""
         async with open_bench(configuration(), [engine(1, 'decode')]) as bench:
@@ -222,7 +222,7 @@
             self.assertFalse(run.complete)
             self.assertLess((run.ended_at or 0) - left_at, 0.1)
 
-    @virtual
+    @in_virtual_time
     async def test_disconnect_before_watcher_runs(self) -> None:
         """Guards against requests that are sent for callers that have disconnected, while the process is busy.
 
@@ -233,7 +233,7 @@
         with patch.object(HttpHandler, '_cancel_on_disconnect', _never_detect_disconnect):
             await self._disconnect_while_queued()
 
-    @virtual
+    @in_virtual_time
     async def test_disconnect_while_queued(self) -> None:
         """Guards against queued requests that are sent after their callers have disconnected."""
         await self._disconnect_while_queued()
--- a/tests/front/test_runner_selection.py
+++ b/tests/front/test_runner_selection.py
@@ -16,7 +16,7 @@
 from sesamepoint.http1.transport import SocketNetwork
 from sesamepoint_core.serving.address import Address
 from tests.front.builders import empty_runner_limits, permissive_send_check
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 
 def build_selector(runners: int) -> tuple[Fleet, RunnerSelector, Job]:
@@ -34,7 +34,7 @@
 class FailingRunnersTest(TestCase):
     """Ejected runners must not leave the others overloaded."""
 
-    @virtual
+    @in_virtual_time
     async def test_one_failing_ejected(self) -> None:
         """Guards against sending to a runner whose answers keep failing, while four others work."""
         fleet, chooser, job = build_selector(5)
@@ -42,7 +42,7 @@
             fleet.members['i-0'].health.note_failure(0)
         self.assertEqual(chooser.count_engines(job), 4)
 
-    @virtual
+    @in_virtual_time
     async def test_most_fail_intermittently(self) -> None:
         """Guards against ejecting so many runners that the rest are overloaded.
 
@@ -56,7 +56,7 @@
                 fleet.members[f'i-{number}'].health.note_failure(0)
         self.assertEqual(chooser.count_engines(job), 7)
 
-    @virtual
+    @in_virtual_time
     async def test_most_unreachable(self) -> None:
         """Runners that accept no connection are all ejected, however many there are."""
         fleet, chooser, job = build_selector(9)
@@ -67,7 +67,7 @@
                 health.note_failure(0)
         self.assertEqual(chooser.count_engines(job), 4)
 
-    @virtual
+    @in_virtual_time
     async def test_all_fail(self) -> None:
         """A failing runner is still chosen when there is no other."""
         fleet, chooser, job = build_selector(2)
--- a/tests/front/test_serving.py
+++ b/tests/front/test_serving.py
@@ -9,13 +9,13 @@
 from sesamepoint.http1.messages import header
 from sesamepoint_standins.platform.bench import open_bench
 from tests.front.builders import configuration, fleet, new_prompt_request, new_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 
 class ServingTest(TestCase):
     """Requests are forwarded unchanged, and answers are complete."""
 
-    @virtual
+    @in_virtual_time
     async def test_serve_each_kind(self) -> None:
         async with open_bench(configuration(), fleet(), fronts=2) as bench:
             for path in ('/card/a', '/thumb/a'):
@@ -33,7 +33,7 @@
                     (200, request.expected_body, True, True),
                 )
 
-    @virtual
+    @in_virtual_time
     async def test_serve_request_unchanged(self) -> None:
         async with open_bench(configuration(), fleet()) as bench:
             extra = ((b'x-own', b'1'), (b'sesamepoint-kv-hold', b'stolen'), (b'kv-fetch', b'10.0.0.1:1'))
@@ -45,7 +45,7 @@
             self.assertIsNone(header(run.message.head.headers, b'sesamepoint-kv-hold'))
             self.assertIsNone(header(run.message.head.headers, b'kv-fetch'))
 
-    @virtual
+    @in_virtual_time
     async def test_serve_deadline_passed_on(self) -> None:
         async with open_bench(configuration(), fleet()) as bench:
             await bench.new_caller('front-1').send(new_request('/card/a', deadline_s=0.7))
@@ -54,7 +54,7 @@
             self.assertLessEqual(left_ms, 700)
             self.assertGreater(left_ms, 600)
 
-    @virtual
+    @in_virtual_time
     async def test_serve_long_prompt_prefilled_remotely(self) -> None:
         """A long prompt is prefilled at the prefill engine, and its answer runs at another engine."""
         async with open_bench(configuration(), fleet()) as bench:
@@ -63,7 +63,7 @@
             self.assertEqual(answer.body, request.expected_body)
             self.assertEqual([run.prefill for run in bench.runners['i-llm1'].runs], [True])
 
-    @virtual
+    @in_virtual_time
     async def test_serve_shared_block_prefilled_once(self) -> None:
         """Fronts announce cached prefix blocks to each other, so that the second request prefills only the rest."""
         async with open_bench(configuration(), fleet(), fronts=2) as bench:
@@ -75,13 +75,13 @@
             # The prefill of 20,000 tokens takes 0.18 s at the fastest engine.
             self.assertLess(answer.first_byte_s, 0.15)
 
-    @virtual
+    @in_virtual_time
     async def test_serve_unknown_route(self) -> None:
         async with open_bench(configuration(), fleet()) as bench:
             answer = await bench.new_caller('front-1').send(new_request('/none/a'))
             self.assertEqual(answer.status, 404)
 
-    @virtual
+    @in_virtual_time
     async def test_serve_persistent_connection(self) -> None:
         async with open_bench(configuration(), fleet()) as bench:
             caller = bench.new_caller('front-1')
--- a/tests/front/test_slow_link.py
+++ b/tests/front/test_slow_link.py
@@ -9,7 +9,7 @@
 from sesamepoint.http1.link_pacing import MAX_QUEUE_S, LinkPacer
 from sesamepoint_standins.platform.bench import open_bench
 from tests.front.builders import configuration, engine, new_prompt_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 LINK_BYTES_S = 10e6 / 8
 BODY = bytes(60_000)
@@ -19,7 +19,7 @@
 class AnnounceTest(TestCase):
     """Announcements of long prefills to peers."""
 
-    @virtual
+    @in_virtual_time
     async def test_announced_before_body(self) -> None:
         """Guards against announcements of the longest prompts that are lost behind their own bodies.
 
@@ -41,7 +41,7 @@
 class PacerTest(TestCase):
     """Sends that are paced to the rate of a link."""
 
-    @virtual
+    @in_virtual_time
     async def test_queue_stays_short(self) -> None:
         """Guards against large sends that fill the queue of the link, and against sending too slowly."""
         pacer = LinkPacer(LINK_BYTES_S)
@@ -52,7 +52,7 @@
         self.assertGreater(took_s, 20 * 2920 / LINK_BYTES_S - MAX_QUEUE_S)
         self.assertLess(took_s, 1.2 * 20 * 2920 / LINK_BYTES_S)
 
-    @virtual
+    @in_virtual_time
     async def test_small_sends_do_not_wait(self) -> None:
         """Guards against pacing that delays sends below the rate of the link."""
         pacer = LinkPacer(LINK_BYTES_S)
--- a/tests/front/test_store_rollback.py
+++ b/tests/front/test_store_rollback.py
@@ -16,7 +16,7 @@
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import account, bearer_header, configuration, new_request, plain_runner
 from tests.front.topic_simulation import TopicSimulation, newest_by_key
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint.front.front import Front
@@ -76,7 +76,7 @@
 class TopicRollbackTest(TestCase):
     """The records of a topic that instances know after a rollback."""
 
-    @virtual
+    @in_virtual_time
     async def test_all_follow_new_history(self) -> None:
         """The log rolls back and grows past the old offset before any instance polls.
 
@@ -85,14 +85,14 @@
         """
         self.assertEqual([await _count_inconsistent(seed) for seed in SEEDS], [0 for _ in SEEDS])
 
-    @virtual
+    @in_virtual_time
     async def test_faulty_variant_ignores_epoch(self) -> None:
         """Without the epoch, instances go by offsets and keep records that the new history lacks."""
         with patch.object(TopicWatch, '_check_epoch', _do_nothing):
             inconsistent = [await _count_inconsistent(seed) for seed in SEEDS]
         self.assertGreater(sum(inconsistent), 0)
 
-    @virtual
+    @in_virtual_time
     async def test_two_rollbacks(self) -> None:
         """The store rolls back again before the first rollback is settled."""
         simulation = TopicSimulation(5)
@@ -110,7 +110,7 @@
             nursery.cancel_scope.cancel()
         self.assertEqual(record_sets, [newest_by_key(simulation.store.log) for _ in record_sets])
 
-    @virtual
+    @in_virtual_time
     async def test_refused_instance_applies_later_updates(self) -> None:
         """The store refuses one instance, which also misses an update of its peers.
 
@@ -143,7 +143,7 @@
 class InstanceRollbackTest(TestCase):
     """What instances use for serving after a rollback, and what they write again."""
 
-    @virtual
+    @in_virtual_time
     async def test_configuration_not_reverted(self) -> None:
         """A key that was revoked in the lost seconds stays revoked, also at a new instance.
 
@@ -162,7 +162,7 @@
             statuses += [await _get_status(bench, name) for name in bench.fronts]
         self.assertEqual(statuses, [401 for _ in statuses])
 
-    @virtual
+    @in_virtual_time
     async def test_lost_runner_records(self) -> None:
         """A runner that joined stays in use and draining ones get no requests, although the copy lacks both changes."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bench:
@@ -185,7 +185,7 @@
             after = len(bench.runners['i-web1'].runs) + len(bench.runners['i-web2'].runs)
         self.assertEqual(after, before)
 
-    @virtual
+    @in_virtual_time
     async def test_faulty_variant_applies_old_copy(self) -> None:
         """If the copy is applied at once, a draining runner gets requests again."""
         with patch.object(TopicWatch, '_settling', _do_nothing):
@@ -200,7 +200,7 @@
                 runs = len(bench.runners['i-web1'].runs)
         self.assertGreater(runs, 0)
 
-    @virtual
+    @in_virtual_time
     async def test_instance_reregisters(self) -> None:
         """An instance that registered in the lost seconds registers again within 3 s."""
         async with open_bench(configuration(), [plain_runner(1)]) as bench:
@@ -214,7 +214,7 @@
         self.assertEqual(registered_after, {'front-1'})
         self.assertEqual(registered_later, {'front-1', 'front-2'})
 
-    @virtual
+    @in_virtual_time
     async def test_quarantine_rewritten(self) -> None:
         """Instances write lost quarantine records again, for instances that start later."""
         async with open_bench(configuration(), [plain_runner(1)], fronts=3) as bench:
--- a/tests/front/test_usage_reports.py
+++ b/tests/front/test_usage_reports.py
@@ -16,7 +16,7 @@
 from sesamepoint_standins.platform.usage import START_TIME_OF_DAY_S
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.front.builders import account, bearer_header, configuration, new_request, plain_runner
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -95,7 +95,7 @@
 class NormalReportsTest(TestCase):
     """Reports without faults, apart from clocks that jump."""
 
-    @virtual
+    @in_virtual_time
     async def test_each_window_reported_once(self) -> None:
         """One exact report a window, within 1 s of its end."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -118,7 +118,7 @@
             )
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
 
-    @virtual
+    @in_virtual_time
     async def test_clocks_jump(self) -> None:
         """Counts stay in their windows when some clocks jump by seconds."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -138,7 +138,7 @@
 class HolderChangeTest(TestCase):
     """Lease holders that fail, stop or are refused, and a store that rolls back."""
 
-    @virtual
+    @in_virtual_time
     async def test_holder_killed(self) -> None:
         """Another instance reports the windows that the killed holder had not, in time."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -153,7 +153,7 @@
             self.assertEqual(_late_windows(bench.usage.reports), [])
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
 
-    @virtual
+    @in_virtual_time
     async def test_failed_instance_not_awaited(self) -> None:
         """Reports do not wait for the counts of a failed instance, which stays listed for 45 s.
 
@@ -175,7 +175,7 @@
             ]
             self.assertEqual(len(prompt_reports), 2)
 
-    @virtual
+    @in_virtual_time
     async def test_holder_stopped(self) -> None:
         """A stopped holder releases the lease: the next one takes over before it expires, and no window is lost."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -194,7 +194,7 @@
             self.assertEqual(windows, list(range(min(windows), max(windows) + 1)))
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
 
-    @virtual
+    @in_virtual_time
     async def test_slow_answers(self) -> None:
         """A report without an answer is sent again byte for byte."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -208,7 +208,7 @@
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
             self.assertEqual(_late_windows(bench.usage.reports), [])
 
-    @virtual
+    @in_virtual_time
     async def test_store_refuses_the_holder(self) -> None:
         """The refused holder stops before another one starts, and does not take over again right after."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
@@ -223,7 +223,7 @@
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
             self.assertEqual(_late_windows(bench.usage.reports), [])
 
-    @virtual
+    @in_virtual_time
     async def test_rollback_as_holder_is_killed(self) -> None:
         """A rollback loses the record of a report just as the holder is killed.
 
@@ -242,7 +242,7 @@
             self.assertEqual(bench.usage.violations(DUTY_SETTINGS.lease_s), [])
             self.assertEqual(len({report.holder for report in bench.usage.reports}), 2)
 
-    @virtual
+    @in_virtual_time
     async def test_holder_continues_after_rollback(self) -> None:
         """A holder that keeps the lease through a rollback knows its decisions, and misses no window."""
         async with open_bench(_account_configuration(), [plain_runner(1)], INSTANCES, DUTY_SETTINGS) as bench:
--- a/tests/virtual.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Running tests in virtual time, and callers that remember what they saw."""
+"""A decorator that runs tests in virtual time, and callers that record their answers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 disable_logging()
 
 
-def virtual(test: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
-    """Run an async test method on a clock that jumps over idle time."""
+def in_virtual_time(test: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
+    """Run an async test method on a virtual clock that skips idle time."""
 
     @wraps(test)
     def run(case: Any) -> None:
@@ -34,8 +34,8 @@
     return run
 
 
-class Seen(NamedTuple):
-    """What a caller saw: the outcome, the text, and the seconds it took."""
+class CallRecord(NamedTuple):
+    """What a caller received: the outcome, the text, and the seconds until it was complete."""
 
     outcome: Outcome
     text: str
@@ -43,7 +43,7 @@
 
 
 def request(**changes: Any) -> CallerRequest:
-    """Return a whole completion of 40 tokens on a prompt of 1,200."""
+    """Return an unstreamed completion request: a prompt of 1,200 tokens and an answer of 40."""
     job_changes = {name: changes.pop(name) for name in tuple(changes) if name in Job._fields}
     fields: dict[str, Any] = {
         'kind': 'engine',
@@ -69,18 +69,18 @@
     return CallerRequest(**{**base, **changes})
 
 
-def body(number: int) -> bytes:
-    """Return a caller's body that no other number has."""
+def unique_body(number: int) -> bytes:
+    """Return a request body that is unique to ``number``."""
     return msgspec.json.encode({'prompt': f'survey {number}'})
 
 
 def expected_text(req: CallerRequest) -> str:
-    """Return the whole answer that a stand-in engine gives."""
+    """Return the whole text that a stand-in engine generates for a request."""
     return answer_text(answer_seed(req.job.body), 0, req.job.output_tokens)
 
 
-async def call(bed: DeploymentBench, req: CallerRequest, entry: str = 'entry-1') -> Seen:
-    """Send a request and note what comes back."""
+async def send_request(bed: DeploymentBench, req: CallerRequest, entry: str = 'entry-1') -> CallRecord:
+    """Send a request to an instance and record the answer."""
     chunks: list[bytes] = []
 
     async def emit(chunk: bytes) -> None:
@@ -88,15 +88,15 @@
 
     started = trio.current_time()
     outcome = await bed.entries[entry].entry.serve(req, emit)
-    return Seen(outcome, b''.join(chunks).decode(), trio.current_time() - started)
+    return CallRecord(outcome, b''.join(chunks).decode(), trio.current_time() - started)
 
 
-class Calls:
-    """Calls that run side by side."""
+class ConcurrentCalls:
+    """Sends requests concurrently and records the answers."""
 
     def __init__(self, bed: DeploymentBench, nursery: trio.Nursery) -> None:
-        """Send to ``bed`` from tasks in ``nursery``."""
-        self.seen: list[tuple[CallerRequest, Seen]] = []
+        """Send to the instances of a deployment from tasks in ``nursery``."""
+        self.records: list[tuple[CallerRequest, CallRecord]] = []
         self._bed = bed
         self._nursery = nursery
 
@@ -105,19 +105,29 @@
         self._nursery.start_soon(self._send, req, entry)
 
     async def _send(self, req: CallerRequest, entry: str) -> None:
-        self.seen.append((req, await call(self._bed, req, entry)))
+        self.records.append((req, await send_request(self._bed, req, entry)))
 
 
 def replace_all_agents(bed: DeploymentBench) -> None:
-    """Kill every agent and start its successor at once."""
+    """Kill every agent and start its successor immediately."""
     for runner in tuple(bed.agents):
         bed.agents[runner].scope.cancel()
         bed.start_agent(runner)
 
 
 async def settle(seconds: float = SETTLE_S) -> None:
-    """Let the bed run for a while."""
+    """Let the deployment run for some seconds."""
     await trio.sleep(seconds)
 
 
-__all__ = ('Calls', 'Seen', 'body', 'call', 'expected_text', 'replace_all_agents', 'request', 'settle', 'virtual')
+__all__ = (
+    'CallRecord',
+    'ConcurrentCalls',
+    'expected_text',
+    'in_virtual_time',
+    'replace_all_agents',
+    'request',
+    'send_request',
+    'settle',
+    'unique_body',
+)
