--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,7 +1,7 @@
-"""What each mechanism of the front is worth in the burst of tests/front/burst.py.
+"""Ablation benchmark: the burst of tests/front/burst.py without one mechanism of the front at a time.
 
-One after the other is switched off by a patch, on the same seeds: ``make
-ablation FIRST=1 LAST=5``. The patches are the seams; the product has no flags.
+Each mechanism is disabled by a patch, on the same seeds, since the product has
+no flags for it. Run: ``make ablation FIRST=1 LAST=5``.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
     from tests.front.burst import AnsweredRequest
 
-    Switch = Callable[[ExitStack], None]
+    Patcher = Callable[[ExitStack], None]
 
 PERCENT = 100
-SWITCHES: Registry[Switch] = Registry('mechanism')
+PATCHERS: Registry[Patcher] = Registry('mechanism')
 
 
 class Row(NamedTuple):
-    """What callers saw without one mechanism, in hundredths; ``unanswered`` is a count a seed."""
+    """Share of requests that were on time, served or refused, in percent; ``unanswered`` is a count per seed."""
 
     long_on_time: float
     long_served: float
@@ -48,127 +48,127 @@
 
 
 def main() -> None:
-    """Print the table: a line with everything, then one without each mechanism."""
+    """Print a row with all mechanisms enabled, then one row without each of them."""
     first, last = (int(text) for text in sys.argv[1:3])
     seeds = range(first, last + 1)
-    _say(_line('without', [f'{name:>18}' for name in Row._fields]))
-    everything = _mean([_play(seed) for seed in seeds])
-    _show('(nothing)', everything)
-    for name in SWITCHES:
-        with _without(SWITCHES.get(name)):
-            _show(name, _mean([_play(seed) for seed in seeds]))
+    _print_line(_format_row('without', [f'{name:>18}' for name in Row._fields]))
+    baseline = _mean([_run_seed(seed) for seed in seeds])
+    _print_row('(nothing)', baseline)
+    for name in PATCHERS:
+        with _without(PATCHERS.get(name)):
+            _print_row(name, _mean([_run_seed(seed) for seed in seeds]))
 
 
 @contextmanager
-def _without(switch: Switch) -> Iterator[None]:
+def _without(patcher: Patcher) -> Iterator[None]:
     with ExitStack() as stack:
-        switch(stack)
+        patcher(stack)
         yield
 
 
-def _play(seed: int) -> Row:
+def _run_seed(seed: int) -> Row:
     long, short = run_virtual(run_burst, seed)
     return Row(
         PERCENT * served_share(long, LONG_TARGET_S),
         PERCENT * served_share(long, math.inf),
         PERCENT * served_share(short, SHORT_TARGET_S),
-        PERCENT * sum(one.answer.status == STATUS_REFUSED for one in long) / len(long),
-        _unanswered([*long, *short]),
+        PERCENT * sum(request.answer.status == STATUS_REFUSED for request in long) / len(long),
+        _count_unanswered([*long, *short]),
     )
 
 
-def _unanswered(found: list[AnsweredRequest]) -> int:
-    return sum(not one.answer.complete for one in found)
+def _count_unanswered(requests: list[AnsweredRequest]) -> int:
+    return sum(not request.answer.complete for request in requests)
 
 
 def _mean(rows: list[Row]) -> Row:
     return Row(*(sum(column) / len(rows) for column in zip(*rows, strict=True)))
 
 
-def _show(name: str, row: Row) -> None:
-    _say(_line(name, [f'{figure:>18.1f}' for figure in row]))
+def _print_row(name: str, row: Row) -> None:
+    _print_line(_format_row(name, [f'{figure:>18.1f}' for figure in row]))
 
 
-def _line(name: str, cells: list[str]) -> str:
+def _format_row(name: str, cells: list[str]) -> str:
     return ''.join((f'{name:<34}', *cells))
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
 
 
-@SWITCHES.register('words between entries')
-def _no_words(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Peers, 'broadcast_sends', _forever))
+@PATCHERS.register('words between entries')
+def _no_peer_updates(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(Peers, 'broadcast_sends', _sleep_forever))
 
 
-@SWITCHES.register('holding work at the entry')
-def _no_holding(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(EngineQueue, 'must_queue', _never))
+@PATCHERS.register('holding work at the entry')
+def _no_queueing(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(EngineQueue, 'must_queue', _return_false))
 
 
-@SWITCHES.register('lots before long sends')
-def _no_lots(stack: ExitStack) -> None:
+@PATCHERS.register('lots before long sends')
+def _no_send_jitter(stack: ExitStack) -> None:
     stack.enter_context(patch('sesamepoint.front.engine_queue.MAX_JITTER_S', 0))
 
 
-@SWITCHES.register('refusing what is late for others')
-def _no_rivals(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(QueueTriage, 'count_timely', _none))
+@PATCHERS.register('refusing what is late for others')
+def _no_contention_refusals(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(QueueTriage, 'count_timely', _return_zero))
 
 
-@SWITCHES.register('knowing who comes back')
-def _no_returned(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(RetryDetector, 'is_retry', _never))
+@PATCHERS.register('knowing who comes back')
+def _no_retry_detection(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(RetryDetector, 'is_retry', _return_false))
 
 
-@SWITCHES.register('going first at last call')
-def _no_last_call(stack: ExitStack) -> None:
+@PATCHERS.register('going first at last call')
+def _no_urgent_retries(stack: ExitStack) -> None:
     stack.enter_context(patch.object(Waiter, 'urgent_retry', new=False))
 
 
-@SWITCHES.register('serving small work late')
-def _no_small(stack: ExitStack) -> None:
+@PATCHERS.register('serving small work late')
+def _no_late_small_requests(stack: ExitStack) -> None:
     stack.enter_context(patch('sesamepoint.front.queue_triage.SMALL_WORK_S', 0))
 
 
-@SWITCHES.register('pricing engine time by the line')
-def _no_price(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(RunnerSelector, '_queue_price', _one))
+@PATCHERS.register('pricing engine time by the line')
+def _no_queue_price(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(RunnerSelector, '_queue_price', _return_fixed_price))
 
 
-@SWITCHES.register('what the others hold')
-def _no_backlog(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Backlog, 'at_peers', _empty))
+@PATCHERS.register('what the others hold')
+def _no_peer_backlog(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(Backlog, 'at_peers', _return_empty))
 
 
-@SWITCHES.register('asking engines what they keep')
-def _no_inventory(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(CacheInventory, 'run', _forever))
+@PATCHERS.register('asking engines what they keep')
+def _no_cache_inventory(stack: ExitStack) -> None:
+    stack.enter_context(patch.object(CacheInventory, 'run', _sleep_forever))
 
 
-@SWITCHES.register('order of decode engines')
-def _no_order(stack: ExitStack) -> None:
+@PATCHERS.register('order of decode engines')
+def _no_decode_order(stack: ExitStack) -> None:
     stack.enter_context(patch.object(placement, 'ORDER_S', 0))
 
 
-async def _forever(*_: object) -> None:
+async def _sleep_forever(*_: object) -> None:
     await trio.sleep_forever()
 
 
-def _never(*_: object) -> bool:
+def _return_false(*_: object) -> bool:
     return False
 
 
-def _none(*_: object) -> int:
+def _return_zero(*_: object) -> int:
     return 0
 
 
-def _one(*_: object) -> float:
+def _return_fixed_price(*_: object) -> float:
     return placement.QUEUED_WEIGHT
 
 
-def _empty(*_: object) -> list[object]:
+def _return_empty(*_: object) -> list[object]:
     return []
 
 
--- a/benchmarks/front_slopes.py
+++ b/benchmarks/front_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the front's own work: choices, words of peers, registrations, routes.
+"""CPU time of the front by size: choice of an engine, peer updates, registrations, configurations.
 
 Run: python -m benchmarks.front_slopes
 """
@@ -32,24 +32,28 @@
     from collections.abc import Callable
 
 SPEEDS = Speeds(PrefillSpeed(0.036, 1 / 112_000, 0), 2_500_000, 0.15, 0.04, 0.4, 0.4)
-ROUNDS = 200
-MICRO = 1e6
+CALLS_PER_ROUND = 200
+US_PER_S = 1e6
 
 
 def main() -> None:
-    """Print each slope as cost over size."""
+    """Print the time of each operation at several sizes."""
     for count in (10, 60, 600):
         views = tuple(EngineView(f'i{number}', _stage(number), 0.01 * number, 3000 + number) for number in range(count))
-        _say(f'choice among {count} engines: {_cost(partial(best_placement, views, SPEEDS, 17_000)):.0f} us')
+        _print_line(
+            f'choice among {count} engines: {_best_time_us(partial(best_placement, views, SPEEDS, 17_000)):.0f} us'
+        )
     for count in (16, 400, 3100):
         text = _configuration(count)
-        _say(f'configuration of {count} routes: {len(text)} bytes, {_cost(partial(decode_configuration, text)):.0f} us')
+        _print_line(
+            f'configuration of {count} routes: {len(text)} bytes, {_best_time_us(partial(decode_configuration, text)):.0f} us'
+        )
     record = msgspec.json.encode(_registration())
-    _say(f'registration: {len(record)} bytes, {_cost(partial(decode_runner, "i", record)):.1f} us')
-    trio.run(_words)
+    _print_line(f'registration: {len(record)} bytes, {_best_time_us(partial(decode_runner, "i", record)):.1f} us')
+    trio.run(_measure_peer_updates)
 
 
-async def _words() -> None:
+async def _measure_peer_updates() -> None:
     fleet = Fleet(
         2.0,
         SocketNetwork(),
@@ -57,32 +61,32 @@
         SendCheck.from_limits(RunnerLimits('front-1', Random(1)), SuspectRequests()),
     )
     fleet.update(_runner())
-    notes = SendTracker('front-1', fleet, _NoRandom())  # type: ignore[arg-type]
+    notes = SendTracker('front-1', fleet, _ZeroRandom())  # type: ignore[arg-type]
     parts = (Part('8f3e21ab', 55), Part('17aa90cc', 13_300), Part('c0ffee12', 3720))
     for count in (1, 10):
         sends = tuple(Send(number, 'i-0', 0.03, 17_000, parts) for number in range(count))
         ends = tuple(SendEnd(number, 'i-0', finished=True) for number in range(count))
         datagram = msgspec.msgpack.encode(SendUpdate('front-2', sends, ends))
-        taken = _cost(partial(_take_in, notes, datagram))
-        _say(f'word with {count} sends and ends: {len(datagram)} bytes, {taken:.0f} us to take in')
+        taken = _best_time_us(partial(_apply_update, notes, datagram))
+        _print_line(f'update with {count} sends and ends: {len(datagram)} bytes, {taken:.0f} us to apply')
 
 
-def _take_in(notes: SendTracker, datagram: bytes) -> None:
+def _apply_update(notes: SendTracker, datagram: bytes) -> None:
     notes.on_peer_update(msgspec.msgpack.decode(datagram, type=SendUpdate))
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
 
 
-def _cost(act: Callable[[], object]) -> float:
+def _best_time_us(call: Callable[[], object]) -> float:
     best = float('inf')
     for _ in range(5):
         started = time.perf_counter()
-        for _ in range(ROUNDS):
-            act()
-        best = min(best, (time.perf_counter() - started) / ROUNDS)
-    return best * MICRO
+        for _ in range(CALLS_PER_ROUND):
+            call()
+        best = min(best, (time.perf_counter() - started) / CALLS_PER_ROUND)
+    return best * US_PER_S
 
 
 def _stage(number: int) -> Stage:
@@ -125,7 +129,7 @@
     return msgspec.json.encode(document)
 
 
-class _NoRandom:
+class _ZeroRandom:
     def getrandbits(self, bits: int) -> int:
         return 0
 
--- a/packages/sesamectl/src/sesamectl/commands/show.py
+++ b/packages/sesamectl/src/sesamectl/commands/show.py
@@ -1,4 +1,4 @@
-"""``sesamectl show``: what is agreed at this moment."""
+"""``sesamectl show``: the current state of a deployment."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 @COMMANDS.register('show')
 def show(arguments: Arguments) -> str:
     """Show version, preset, leases, orders and the last changes."""
-    state = with_follower(arguments, arguments['--deployment'], _state)
+    state = with_follower(arguments, arguments['--deployment'], _read_state)
     if arguments['--json']:
-        return msgspec.json.encode(_as_object(state)).decode()
-    return '\n'.join(_lines(state))
+        return msgspec.json.encode(_to_json_object(state)).decode()
+    return '\n'.join(_describe_state(state))
 
 
-async def _state(follower: Follower) -> State:
+async def _read_state(follower: Follower) -> State:
     await trio.lowlevel.checkpoint()
     return follower.state
 
 
-def _as_object(state: State) -> dict[str, object]:
+def _to_json_object(state: State) -> dict[str, object]:
     fields: dict[str, object] = state._asdict()
     fields.pop('writers')
     fields['configuration'] = msgspec.Raw(state.configuration)
@@ -40,7 +40,7 @@
     return fields
 
 
-def _lines(state: State) -> Iterator[str]:
+def _describe_state(state: State) -> Iterator[str]:
     yield f'version {state.version}, preset {state.preset}, offset {state.offset}'
     for change in state.changes:
         yield f'  version {change.version} at offset {change.offset}: {change.what}, by {change.operator}'
--- a/packages/sesamectl/src/sesamectl/demo/run.py
+++ b/packages/sesamectl/src/sesamectl/demo/agents_demo.py
@@ -1,4 +1,4 @@
-"""The course of the demo, and its table."""
+"""Demo with instances and agents: both deployments under a shifting load, and its table."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sesamepoint_standins.asgi_apps import PlatformApp
 from sesamepoint_standins.memory_platform import MemoryInstances, MemoryLog
 from sesamectl.commands.check import load_configuration
-from sesamectl.demo.deployment import PLATFORM, DemoDeployment
+from sesamectl.demo.deployment import PLATFORM_ADDRESS, DemoDeployment
 from sesamectl.demo.load import Load
 
 if TYPE_CHECKING:
@@ -27,17 +27,17 @@
 
     from sesamepoint_core.config.model import Configuration
 
-EXAMPLES = Path(__file__).parents[1] / 'experiment' / 'deployments'
-STARTED_S = 5.0
-FIRST_S = 4.0
-SECOND_S = 10.0
-FEW_LONG = 0.1
-MOSTLY_LONG = 0.9
+DEPLOYMENTS_DIR = Path(__file__).parents[1] / 'experiment' / 'deployments'
+STARTUP_S = 5.0
+FIRST_PHASE_S = 4.0
+SECOND_PHASE_S = 10.0
+FIRST_LONG_SHARE = 0.1
+SECOND_LONG_SHARE = 0.9
 HIMAL_PORT = 6960
 QALIN_PORT = 6970
 SETTLE_S = 2.0
 TAGS = ('answered', 'late', 'not_run', 'unknown', 'failed')
-QUICK = MappingProxyType({'role_change_weight': 0.1, 'plan_interval_s': 1.0, 'horizon_s': 4.0})
+PRESET_CHANGES = MappingProxyType({'role_change_weight': 0.1, 'plan_interval_s': 1.0, 'horizon_s': 4.0})
 
 
 class User(NamedTuple):
@@ -46,38 +46,38 @@
     name: str
     model: str
     entry_port: int
-    replaced: str
+    replaced_runner: str
 
 
 USERS = (User('himal', 'verdict', HIMAL_PORT, 'verdict-3'), User('qalin', 'assist', QALIN_PORT, 'assist-4'))
 
 
-class DemoEnd(NamedTuple):
-    """The table's lines, and whether all promises were kept."""
+class DemoReport(NamedTuple):
+    """Lines of the table, and whether no answer was cut off, wrong or produced twice."""
 
     lines: tuple[str, ...]
-    kept: bool
+    passed: bool
 
 
-async def run_demo() -> DemoEnd:
-    """Run both deployments side by side and end."""
+async def run_agents_demo() -> DemoReport:
+    """Run both deployments side by side until both have ended."""
     log = MemoryLog()
     instances = MemoryInstances()
     lines: list[str] = []
     async with trio.open_nursery() as nursery:
-        await nursery.start(serve_asgi, PlatformApp(log, instances), PLATFORM)
-        ends: list[DemoEnd] = []
+        await nursery.start(serve_asgi, PlatformApp(log, instances), PLATFORM_ADDRESS)
+        ends: list[DemoReport] = []
         async with trio.open_nursery() as users:
             for user in USERS:
                 users.start_soon(_run_user, user, log, instances, ends)
         nursery.cancel_scope.cancel()
     for user_end in ends:
         lines.extend(user_end.lines)
-    return DemoEnd(tuple(lines), all(ended.kept for ended in ends))
+    return DemoReport(tuple(lines), all(ended.passed for ended in ends))
 
 
-async def _run_user(user: User, log: MemoryLog, instances: MemoryInstances, ends: list[DemoEnd]) -> None:
-    cfg = _quick(user.name)
+async def _run_user(user: User, log: MemoryLog, instances: MemoryInstances, ends: list[DemoReport]) -> None:
+    cfg = _load_demo_configuration(user.name)
     deployment = DemoDeployment(cfg, user.entry_port, instances)
     load = Load(deployment, user.model, seed=1)
     async with trio.open_nursery() as nursery:
@@ -87,50 +87,50 @@
         nursery.start_soon(operator.follow)
         await operator.recovered.wait()
         await operator.submit(Publish(0, 'demo', msgspec.Raw(msgspec.json.encode(cfg))))
-        await trio.sleep(STARTED_S)
-        await _shift(user, deployment, load, operator)
-        ends.append(_end(user, deployment, load))
+        await trio.sleep(STARTUP_S)
+        await _run_phases(user, deployment, load, operator)
+        ends.append(_build_report(user, deployment, load))
         nursery.cancel_scope.cancel()
 
 
-async def _shift(user: User, deployment: DemoDeployment, load: Load, operator: Follower) -> None:
-    """Let the mix shift; switch a preset and replace a runner's agent."""
-    await load.run(FIRST_S, FEW_LONG)
+async def _run_phases(user: User, deployment: DemoDeployment, load: Load, operator: Follower) -> None:
+    """Send mostly short, then mostly long prompts; switch the preset and replace an agent."""
+    await load.run(FIRST_PHASE_S, FIRST_LONG_SHARE)
     await operator.submit(SwitchPreset(operator.state.version, 'demo', 'peak'))
     async with trio.open_nursery() as shift:
-        shift.start_soon(load.run, SECOND_S, MOSTLY_LONG)
-        await trio.sleep(FIRST_S)
-        shift.start_soon(deployment.replace_agent, user.replaced)
+        shift.start_soon(load.run, SECOND_PHASE_S, SECOND_LONG_SHARE)
+        await trio.sleep(FIRST_PHASE_S)
+        shift.start_soon(deployment.replace_agent, user.replaced_runner)
     await trio.sleep(SETTLE_S)
 
 
-def _quick(name: str) -> Configuration:
-    """Return a user's configuration with horizons that fit into the demo."""
-    _, document = load_configuration(EXAMPLES / f'{name}.json')
+def _load_demo_configuration(name: str) -> Configuration:
+    """Return a user's configuration with horizons short enough for the demo."""
+    _, document = load_configuration(DEPLOYMENTS_DIR / f'{name}.json')
     parsed: dict[str, Any] = msgspec.json.decode(document)
     for preset in parsed['presets'].values():
-        preset.update(QUICK)
+        preset.update(PRESET_CHANGES)
     return parse_configuration(msgspec.json.encode(parsed))
 
 
-def _end(user: User, deployment: DemoDeployment, load: Load) -> DemoEnd:
+def _build_report(user: User, deployment: DemoDeployment, load: Load) -> DemoReport:
     cut = sum(engine.dropped_by_order for engine in deployment.engines.values())
-    wrong = sum(not call.right for call in load.ended)
+    wrong = sum(not call.correct for call in load.ended)
     doubled = sum(count > 1 for engine in deployment.engines.values() for count in engine.run_counts.values())
-    return DemoEnd(tuple(_lines(user, deployment, load)), not (cut or wrong or doubled))
+    return DemoReport(tuple(_format_table(user, deployment, load)), not (cut or wrong or doubled))
 
 
-def _lines(user: User, deployment: DemoDeployment, load: Load) -> Iterator[str]:
+def _format_table(user: User, deployment: DemoDeployment, load: Load) -> Iterator[str]:
     yield f'{deployment.cfg["deployment"]} ({user.name})'
     yield ''.join([f'  {"":8}', *(f'{tag:>10}' for tag in TAGS)])
     for name, main in (('main', True), ('small', False)):
         tags = Counter(call.tag for call in load.ended if call.main is main)
         yield ''.join([f'  {name:8}', *(f'{tags[tag]:>10}' for tag in TAGS)])
     changes = sum(len(engine.orders) for engine in deployment.engines.values())
-    yield f'  role changes {changes}, runner replaced {user.replaced}, preset switched to peak'
+    yield f'  role changes {changes}, runner replaced {user.replaced_runner}, preset switched to peak'
     for process in deployment.processes:
         for decision in process.decisions():
             yield f'  {decision.kind} {decision.subject} v{decision.version} fence {decision.fence}: {decision.choice}'
 
 
-__all__ = ('DemoEnd', 'run_demo')
+__all__ = ('DemoReport', 'run_agents_demo')
--- a/packages/sesamectl/src/sesamectl/demo/platform.py
+++ b/packages/sesamectl/src/sesamectl/demo/platform_demo.py
@@ -1,4 +1,4 @@
-"""The demo on the users' platform: two front processes, a stop under load."""
+"""Demo on the users' platform: two front processes, one of them stopped under load."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 LOAD_S = 3.0
 PAUSE_S = 0.05
 STOP_LIMIT_S = 30.0
-# Tokens of a shared part, of a long prompt's own part, and of a short one's:
-# about the mean of the smaller of today's deployments.
-SHARED = ('survey', 13_000)
-LONG_TOKENS = 3700
-SHORT_TOKENS = 290
+# Tokens of the shared prefix block, and of the own block of a long and of a short
+# prompt: about the mean of the smaller of today's deployments.
+SHARED_BLOCK = ('survey', 13_000)
+LONG_BLOCK_TOKENS = 3700
+SHORT_BLOCK_TOKENS = 290
 DEADLINE_S = 5.0
 LIMITS = {  # noqa: WPS407
     'max_header_bytes': 16384,
@@ -36,63 +36,70 @@
 }
 
 
-class PlatformEnd(NamedTuple):
-    """What the demo shows, and whether every promise was kept."""
+class PlatformDemoReport(NamedTuple):
+    """Lines of the report, and whether all answers were whole and correct."""
 
     lines: tuple[str, ...]
-    kept: bool
+    passed: bool
 
 
-async def run_platform_demo() -> PlatformEnd:
-    """Serve all kinds of request at two fronts, one of which is stopped meanwhile."""
+async def run_platform_demo() -> PlatformDemoReport:
+    """Serve all kinds of request at two front processes, and stop one of them meanwhile."""
     found: defaultdict[str, list[CallerAnswer]] = defaultdict(list)
     wrong: list[str] = []
-    with tempfile.TemporaryDirectory() as folder:
-        async with open_process_bench(_configuration(), Path(folder), fronts=2) as bed:
-            await _play(bed, found, wrong)
-    return PlatformEnd((*_table(found), *wrong), not wrong)
+    with tempfile.TemporaryDirectory() as directory:
+        async with open_process_bench(_configuration(), Path(directory), fronts=2) as bed:
+            await _run_load(bed, found, wrong)
+    return PlatformDemoReport((*_table(found), *wrong), not wrong)
 
 
-def _table(found: dict[str, list[CallerAnswer]]) -> list[str]:
-    rows = [f'{kind:10} asked {len(seen):4}  p50 {_middle_ms(seen):4.0f} ms' for kind, seen in sorted(found.items())]
+def _table(answers_by_kind: dict[str, list[CallerAnswer]]) -> list[str]:
+    rows = [
+        f'{kind:10} sent {len(seen):4}   p50 {_median_ms(seen):4.0f} ms'
+        for kind, seen in sorted(answers_by_kind.items())
+    ]
     return [
         *rows,
-        'one of two front processes was stopped in the middle; what was cut off or wrong follows, if anything',
+        'one of two front processes was stopped under load; answers cut off or wrong follow, if any',
     ]
 
 
-async def _play(bed: ProcessBench, found: defaultdict[str, list[CallerAnswer]], wrong: list[str]) -> None:
+async def _run_load(
+    bench: ProcessBench, answers_by_kind: defaultdict[str, list[CallerAnswer]], failures: list[str]
+) -> None:
     async with trio.open_nursery() as nursery:
         for number in range(CALLERS):
-            nursery.start_soon(_call, bed, number, found, wrong)
+            nursery.start_soon(_call, bench, number, answers_by_kind, failures)
         await trio.sleep(LOAD_S / 2)
-        bed.fronts[0].process.send_signal(signal.SIGTERM)
+        bench.fronts[0].process.send_signal(signal.SIGTERM)
         with trio.fail_after(STOP_LIMIT_S):
-            await bed.fronts[0].process.wait()
+            await bench.fronts[0].process.wait()
 
 
-async def _call(bed: ProcessBench, number: int, found: defaultdict[str, list[CallerAnswer]], wrong: list[str]) -> None:
+async def _call(
+    bench: ProcessBench, caller_index: int, answers_by_kind: defaultdict[str, list[CallerAnswer]], failures: list[str]
+) -> None:
     started = trio.current_time()
     count = 0
     while trio.current_time() - started < LOAD_S:
         for kind in ('verdict', 'tag', 'card', 'thumb'):
             count += 1
-            # Callers of the first front go to the second when it is stopped.
-            front = bed.fronts[0 if number % 2 and trio.current_time() - started < LOAD_S / 2 else 1]
-            asked = _asked(kind, f'{kind}-{number}-{count}')
+            # Callers of the first front process switch to the second when it is stopped.
+            front = bench.fronts[0 if caller_index % 2 and trio.current_time() - started < LOAD_S / 2 else 1]
+            asked = _build_request(kind, f'{kind}-{caller_index}-{count}')
             seen = await new_caller(front).send(asked)
-            found[kind].append(seen)
+            answers_by_kind[kind].append(seen)
             if (seen.status, seen.body, seen.complete) != (200, asked.expected_body, True):
-                wrong.append(f'{asked.request_id}: status {seen.status}, whole {seen.complete}')
+                failures.append(f'{asked.request_id}: status {seen.status}, whole {seen.complete}')
         await trio.sleep(PAUSE_S)
 
 
-def _asked(kind: str, request_id: str) -> RequestSpec:
+def _build_request(kind: str, request_id: str) -> RequestSpec:
     if kind in {'card', 'thumb'}:
         return RequestSpec(request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S)
-    own = LONG_TOKENS if kind == 'verdict' else SHORT_TOKENS
+    own = LONG_BLOCK_TOKENS if kind == 'verdict' else SHORT_BLOCK_TOKENS
     return RequestSpec(
-        request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S, parts=(SHARED, (request_id, own)), output=8
+        request_id, HOST, f'/{kind}/a', deadline_s=DEADLINE_S, parts=(SHARED_BLOCK, (request_id, own)), output=8
     )
 
 
@@ -116,8 +123,8 @@
     return {**base, 'timeout_ms': 5000, 'target_latency_ms': 400, 'gap_aim_ms': 150, 'max_attempts': 1}
 
 
-def _middle_ms(seen: list[CallerAnswer]) -> float:
-    return sorted(one.took_s for one in seen)[len(seen) // 2] * MS_PER_S
+def _median_ms(answers: list[CallerAnswer]) -> float:
+    return sorted(one.took_s for one in answers)[len(answers) // 2] * MS_PER_S
 
 
-__all__ = ('PlatformEnd', 'run_platform_demo')
+__all__ = ('PlatformDemoReport', 'run_platform_demo')
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/capacity.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/capacity.py
@@ -1,4 +1,4 @@
-"""How much of an offered load a fleet can answer in time."""
+"""Estimate of the requests that a fleet can't answer in time at given role counts."""
 
 from __future__ import annotations
 
@@ -10,81 +10,86 @@
     from sesamepoint_core.config.model import EngineConfig, Role
     from sesamepoint_core.plan.demand import Demand
 
-FULL = 0.9
-USABLE_TIMEOUT = 0.8
-STEPS = 9
-TINY = 1e-9
+MAX_UTILIZATION = 0.9
+MAX_TIMEOUT_SHARE = 0.8
+UTILIZATION_STEPS = 9
+MIN_DIVISOR_RATE = 1e-9
 
-Counts = dict['Role', int]
+RoleCounts = dict['Role', int]
 
 
-class Load(NamedTuple):
-    """Offered load by class: the main job, and the small ones."""
+class ClassDemands(NamedTuple):
+    """Offered demand by class: requests of the main job, and small ones."""
 
     main: Demand
     small: Demand
 
 
-def late_rate(engine: EngineConfig, counts: Mapping[Role, int], load: Load) -> float:
-    """Return the answers per second that would be late or refused.
+def late_rate(engine: EngineConfig, counts: Mapping[Role, int], demands: ClassDemands) -> float:
+    """Return how many requests per second would be answered late or refused.
 
-    A fluid model: each role can answer so many requests of a class a second,
-    as its steps cost time and a full batch slows its answers. The main job
-    is placed first, on the roles that are relatively best at it; the small
-    jobs get what is left.
+    This is a fluid model: a runner has a service rate for each role and
+    class of requests, which follows from the time of its steps; a full batch
+    slows its answers. The main job is allocated first, to the roles with the
+    highest service rate for it relative to that for small requests. The
+    small requests get the remaining runners.
     """
-    able = {role: (rate(engine, role, load.main), rate(engine, role, load.small)) for role in counts}
-    order = sorted(counts, key=lambda role: -able[role][0] / max(able[role][1], TINY))
+    service_rates = {
+        role: (service_rate(engine, role, demands.main), service_rate(engine, role, demands.small)) for role in counts
+    }
+    order = sorted(counts, key=lambda role: -service_rates[role][0] / max(service_rates[role][1], MIN_DIVISOR_RATE))
     runners: dict[Role, float] = {role: float(counts[role]) for role in counts}
-    late_main = _place(load.main.requests, runners, order, {role: able[role][0] for role in counts})
-    late_small = _place(load.small.requests, runners, tuple(reversed(order)), {role: able[role][1] for role in counts})
+    late_main = _allocate(demands.main.requests, runners, order, {role: service_rates[role][0] for role in counts})
+    late_small = _allocate(
+        demands.small.requests, runners, tuple(reversed(order)), {role: service_rates[role][1] for role in counts}
+    )
     return late_main + late_small
 
 
-def rate(engine: EngineConfig, role: Role, work: Demand) -> float:
-    """Return how many requests of a class one runner can answer a second.
+def service_rate(engine: EngineConfig, role: Role, demand: Demand) -> float:
+    """Return how many requests of a class one runner can answer per second.
 
-    The fuller a runner is with prompts, the longer its steps and so the
-    time between two tokens; the answer is the fullest that still keeps
-    the deadline.
+    A higher utilization makes the steps of an engine longer, and so the time
+    between two tokens. The rate is that of the highest utilization at which
+    an average request still meets its deadline; 0 if there is none.
     """
-    if not work.requests:
+    if not demand.requests:
         return 0
-    prompt = work.prompt_tokens / work.requests
-    output = work.output_tokens / work.requests
+    prompt = demand.prompt_tokens / demand.requests
+    output = demand.output_tokens / demand.requests
     profile = engine['profiles'][role]
     steps = max(prompt / profile['chunk_tokens'], output / profile['max_running'])
     busy_s = steps * engine['base_step_s'] + prompt * engine['prefill_token_s'] + output * engine['decode_answer_s']
-    for step in range(STEPS, 0, -1):
-        full = FULL * step / STEPS
-        if _finish_s(engine, role, (prompt, output), full) <= work.timeout_s * USABLE_TIMEOUT:
-            return full / busy_s
+    for step in range(UTILIZATION_STEPS, 0, -1):
+        utilization = MAX_UTILIZATION * step / UTILIZATION_STEPS
+        if _response_time_s(engine, role, (prompt, output), utilization) <= demand.timeout_s * MAX_TIMEOUT_SHARE:
+            return utilization / busy_s
     return 0
 
 
-def _finish_s(engine: EngineConfig, role: Role, work: tuple[float, float], full: float) -> float:
-    prompt, output = work
+def _response_time_s(engine: EngineConfig, role: Role, tokens: tuple[float, float], utilization: float) -> float:
+    prompt, output = tokens
     profile = engine['profiles'][role]
     chunk_s = profile['chunk_tokens'] * engine['prefill_token_s']
     prefill_s = prompt * (engine['prefill_token_s'] + engine['base_step_s'] / profile['chunk_tokens'])
     prefill_share = prefill_s / (prefill_s + output * engine['decode_answer_s'])
-    step_s = engine['base_step_s'] + full * prefill_share * chunk_s
-    return prefill_s / (1 - full) + output * step_s
+    step_s = engine['base_step_s'] + utilization * prefill_share * chunk_s
+    return prefill_s / (1 - utilization) + output * step_s
 
 
-def _place(
+def _allocate(
     requests: float,
     runners: dict[Role, float],
     order: Sequence[Role],
-    able: Mapping[Role, float],
+    service_rates: Mapping[Role, float],
 ) -> float:
-    """Use runners up for ``requests`` a second; return what found no place."""
+    """Allocate runners to requests in the given order of roles and return the rate left over."""
     for role in order:
-        if able[role] > 0:
-            used = min(runners[role], requests / able[role])
-            runners[role] -= used
-            requests -= used * able[role]
+        if service_rates[role] > 0:
+            allocated = min(runners[role], requests / service_rates[role])
+            runners[role] -= allocated
+            requests -= allocated * service_rates[role]
     return max(requests, 0)
 
 
-__all__ = ('Counts', 'Load', 'late_rate', 'rate')
+__all__ = ('ClassDemands', 'RoleCounts', 'late_rate', 'service_rate')
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/asgi_apps.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/asgi_apps.py
@@ -116,7 +116,7 @@
     """Application for one engine."""
 
     def __init__(self, engine: Engine) -> None:
-        """Serve ``plan``."""
+        """Serve ``engine``."""
         self._engine = engine
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/deployment_bench.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/deployment_bench.py
@@ -16,12 +16,12 @@
 from sesamepoint_core.config.check import parse_configuration
 from sesamepoint_core.fold.records import Publish
 from sesamepoint.agent.agent import Agent
-from sesamepoint.agent.tree import agent_children
+from sesamepoint.agent.children import agent_children
 from sesamepoint.control.follower import Follower
-from sesamepoint.entry.entry import Entry
+from sesamepoint.entry.request_server import RequestServer
 from sesamepoint.entry.fleets import Fleets
-from sesamepoint.entry.tree import entry_children
-from sesamepoint.keys.homes import KeyHomes
+from sesamepoint.entry.children import instance_children
+from sesamepoint.keys.shard_coordinators import ShardCoordinators
 from sesamepoint.unique_ids import new_incarnation
 from sesamepoint.supervisor import Supervisor
 from sesamepoint_standins.engine import Engine
@@ -62,7 +62,7 @@
 
     async def stop(self) -> None:
         """Stop gracefully, as on SIGTERM."""
-        self.agent.leaving = True
+        self.agent.draining = True
         await self.agent.drained()
         self.scope.cancel()
 
@@ -70,7 +70,7 @@
 class BenchEntry:
     """One entry process of the bench."""
 
-    def __init__(self, entry: Entry, faults: ProcessFaults) -> None:
+    def __init__(self, entry: RequestServer, faults: ProcessFaults) -> None:
         """Create the process without starting it."""
         self.entry = entry
         self.faults = faults
@@ -79,7 +79,7 @@
     async def run(self) -> None:
         """Run the supervised tasks until killed."""
         with self.scope:
-            await Supervisor('entry').run(entry_children(self.entry))
+            await Supervisor('entry').run(instance_children(self.entry))
 
     async def stop(self) -> None:
         """Stop gracefully, as on SIGTERM."""
@@ -139,7 +139,7 @@
         follower = self._new_follower(f'agent-{runner}', gate)
         upstream = PausableUpstream(self.upstreams[runner], gate)
         log = PausableLog(self.log, gate)
-        homes = KeyHomes(log, self.configuration['deployment'], follower.writer, trio.current_time)
+        homes = ShardCoordinators(log, self.configuration['deployment'], follower.writer, trio.current_time)
         started = BenchAgent(Agent(runner, upstream, follower, homes), gate)
         self.agents[runner] = started
         self._nursery.start_soon(started.run)
@@ -158,7 +158,7 @@
             lambda address: self._open_link(name, zone, address, gate),
             rng,
         )
-        started = BenchEntry(Entry(zone, follower, fleets, rng, self.policy), gate)
+        started = BenchEntry(RequestServer(zone, follower, fleets, rng, self.policy), gate)
         self.entries[name] = started
         self._nursery.start_soon(started.run)
         return started
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from sesamepoint.control.signal import Signal
+from sesamepoint.control.notifier import Notifier
 from sesamepoint.upstream.base import UpstreamLoad
 from sesamepoint_standins import engine_model as model
 
@@ -100,9 +100,9 @@
         self._waiting: list[_ActiveRequest] = []
         self._running: list[_ActiveRequest] = []
         self._cache: OrderedDict[str, int] = OrderedDict()
-        self._work_changed = Signal()
+        self._work_changed = Notifier()
         self._reports: deque[tuple[float, UpstreamLoad]] = deque(maxlen=MAX_SNAPSHOTS)
-        self._role_change_aborted = Signal()
+        self._role_change_aborted = Notifier()
         self._step_s = model.BASE_STEP_S
 
     def submit(self, req: EngineRequest) -> trio.MemoryReceiveChannel[str]:
@@ -116,7 +116,7 @@
         self.run_counts_by_seed[req.seed] = self.run_counts_by_seed.get(req.seed, 0) + 1
         self._waiting.append(_ActiveRequest(req, max(req.prompt_tokens - cached, 1), sender))
         self._waiting.sort(key=lambda active: -active.req.priority)
-        self._work_changed.set_off()
+        self._work_changed.notify_all()
         return receiver
 
     def cancel(self, request_id: str) -> None:
@@ -125,7 +125,7 @@
             queue = self._waiting if active in self._waiting else self._running
             queue.remove(active)
             active.text_channel.close()
-            self._work_changed.set_off()
+            self._work_changed.notify_all()
 
     def load(self) -> UpstreamLoad:
         """Return the delayed load report; ``role`` and ``changing`` are current."""
@@ -158,14 +158,14 @@
         self.changing = True
         self.role = model.HALF_SWITCHED
         self._target = role
-        self._work_changed.set_off()
+        self._work_changed.notify_all()
 
     def crash(self) -> None:
         """Drop all requests and the cache; a role change in progress stays unfinished."""
         self._drop_all()
         self._cache.clear()
         self.changing = False
-        self._role_change_aborted.set_off()
+        self._role_change_aborted.notify_all()
 
     async def run(self) -> None:
         """Run steps until cancelled."""
@@ -179,7 +179,7 @@
                 await self._work_changed.wait()
 
     async def _change_role(self) -> None:
-        if await self._role_change_aborted.wait_at_most(self.role_change_s):
+        if await self._role_change_aborted.wait_with_timeout(self.role_change_s):
             return
         self.role = self._target
         self.changing = False
@@ -187,7 +187,7 @@
     async def _step(self) -> None:
         profile = model.PROFILES.get(self.role)
         if profile is None:
-            await self._work_changed.wait_at_most(SNAPSHOT_INTERVAL_S)
+            await self._work_changed.wait_with_timeout(SNAPSHOT_INTERVAL_S)
             return
         chunk = self._plan_chunk(profile)
         if chunk:
@@ -227,7 +227,7 @@
         step_s = model.step_s(0, len(decoding)) * self.slowdown
         steps = min(MAX_STEPS_PER_SLEEP, min(active.output_left for active in decoding))
         started = trio.current_time()
-        if await self._work_changed.wait_at_most(steps * step_s):
+        if await self._work_changed.wait_with_timeout(steps * step_s):
             started_steps = int((trio.current_time() - started) / step_s) + 1
             steps = min(steps, started_steps)
             await trio.sleep(max(started + steps * step_s - trio.current_time(), 0))
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_engine.py
@@ -7,7 +7,7 @@
 import trio
 
 from sesamepoint_core.errors import UpstreamError
-from sesamepoint.upstream.base import OrderRefusedError, UnreachableError, UpstreamLoad
+from sesamepoint.upstream.base import OrderRefusedError, UpstreamLoad, UpstreamUnreachableError
 from sesamepoint_standins.engine import Engine, EngineRefusedError, EngineRequest
 from sesamepoint_standins.engine_model import answer_seed
 
@@ -21,7 +21,7 @@
     """Adapter from an :class:`Engine` to the agent's upstream interface."""
 
     def __init__(self, engine: Engine) -> None:
-        """Wrap ``plan``, reachable at first."""
+        """Wrap ``engine``, reachable at first."""
         self.engine = engine
         self.reachable = True
 
@@ -72,7 +72,7 @@
     async def _check_reachable(self) -> None:
         await trio.lowlevel.checkpoint()
         if not self.reachable:
-            raise UnreachableError('down')
+            raise UpstreamUnreachableError('down')
 
 
 __all__ = ('MemoryEngine',)
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/faulty_proxy.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, target: Address) -> None:
-        """Forward to ``owner``, without a fault at first."""
+        """Forward to ``target``, without a fault at first."""
         self.fault = Fault.none
         self.delay_s: float = 0
         self._target = target
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_simulation.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/limit_simulation.py
@@ -108,7 +108,7 @@
     """Simulated instance with its requests."""
 
     def __init__(self, name: str, simulation: LimitSimulation, rate: float) -> None:
-        """Start an instance that receives ``speed_meters`` requests a second."""
+        """Start an instance that receives ``rate`` requests a second."""
         self.name = name
         self.rate = rate
         self.up = True
@@ -283,7 +283,7 @@
         self.schedule(frozen.frozen_until, frozen.resume)
 
     def partition(self, names: Iterable[str]) -> None:
-        """Cut ``wire_names`` off from all other instances, but not from the runner."""
+        """Cut ``names`` off from all other instances, but not from the runner."""
         inside = set(names)
         outside = self.instances.keys() - inside
         self.network.cut_pairs = {frozenset((one, other)) for one in inside for other in outside}
@@ -328,7 +328,7 @@
         self.schedule(self.now + ANSWER_DELAY_S, lambda: self._answer(instance, sent_at))
 
     def max_excess(self, since: float) -> float:
-        """Return by how many requests the worst window from ``changed_at`` on exceeds the users' bound.
+        """Return by how many requests the worst window from ``since`` on exceeds the users' bound.
 
         Requests of instances that have just started and do not know the limit are not counted.
         """
@@ -337,7 +337,7 @@
         return max((span.requests - self._max_requests(span.window_end) for span in checked), default=-math.inf)
 
     def used_share(self, since: float) -> float:
-        """Return the share of the limit that was used from ``changed_at`` on; the limit must not have changed."""
+        """Return the share of the limit that was used from ``since`` on; the limit must not have changed."""
         count_since = sum(arrival.at >= since for arrival in self.arrivals)
         return count_since / ((self.limit or math.inf) * (self.now - since))
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/platform/runner.py
@@ -167,7 +167,7 @@
         return {**found, 'stage': self.stage, 'models': [{'name': 'm', 'version': 1}]} if self.stage else found
 
     def count_arrivals(self, since: float, until: float) -> int:
-        """Return how many requests arrived from ``changed_at`` until before ``until``."""
+        """Return how many requests arrived from ``since`` until before ``until``."""
         return bisect_left(self.arrivals, until) - bisect_left(self.arrivals, since)
 
     def restart(self, born_ms: int) -> None:
--- a/packages/sesamepoint/src/sesamepoint/control/leaders.py
+++ b/packages/sesamepoint/src/sesamepoint/control/leaders.py
@@ -1,4 +1,4 @@
-"""One leader per fleet of engines, as the configuration names them."""
+"""Supervised leaders, one for each engine fleet of the configuration."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 from sesamepoint.supervisor import Child, Supervisor
 
 if TYPE_CHECKING:
-    from sesamepoint.control.decisions import Decisions
+    from sesamepoint.control.decisions import DecisionHistory
     from sesamepoint.control.follower import Follower
     from sesamepoint.entry.fleets import Fleets
 
 
 class Leaders:
-    """Starts a leader for each fleet of engines; leases tell which act."""
+    """Runs a leader for each engine fleet; a leader acts only while it holds the fleet's lease."""
 
-    def __init__(self, follower: Follower, fleets: Fleets, decisions: Decisions, policy: str = 'default') -> None:
-        """Lead nothing yet."""
+    def __init__(self, follower: Follower, fleets: Fleets, decisions: DecisionHistory, policy: str = 'default') -> None:
+        """Start without leaders."""
         self._follower = follower
         self._fleets = fleets
         self._decisions = decisions
         self._policy = policy
-        self._led: dict[str, trio.CancelScope] = {}
+        self._scopes: dict[str, trio.CancelScope] = {}
 
-    async def keep(self) -> None:
-        """Follow the configuration until cancelled."""
-        self._led.clear()
+    async def follow_configuration(self) -> None:
+        """Start and stop leaders as the configuration changes, until cancelled."""
+        self._scopes.clear()
         async with trio.open_nursery() as nursery:
             while True:
-                self._adapt(nursery)
+                self._apply_configuration(nursery)
                 await self._follower.changed.wait()
 
-    def _adapt(self, nursery: trio.Nursery) -> None:
+    def _apply_configuration(self, nursery: trio.Nursery) -> None:
         try:
-            fleets = self._follower.in_force.configuration['fleets']
+            fleets = self._follower.active_configuration.configuration['fleets']
         except NotConfiguredError:
             return
         wanted = {name for name, fleet in fleets.items() if fleet['kind'] == 'engine'}
-        for gone in set(self._led) - wanted:
-            self._led.pop(gone).cancel()
-        for name in sorted(wanted - set(self._led)):
-            self._led[name] = trio.CancelScope()
-            nursery.start_soon(self._run, name, self._led[name])
+        for removed in set(self._scopes) - wanted:
+            self._scopes.pop(removed).cancel()
+        for name in sorted(wanted - set(self._scopes)):
+            self._scopes[name] = trio.CancelScope()
+            nursery.start_soon(self._run_leader, name, self._scopes[name])
 
-    async def _run(self, fleet: str, scope: trio.CancelScope) -> None:
+    async def _run_leader(self, fleet: str, scope: trio.CancelScope) -> None:
         leader = Leader(fleet, self._follower, self._fleets, self._decisions, self._policy)
         with scope:
-            await Supervisor(f'leader.{fleet}').run([Child('lease', leader.lease.keep), Child('plan', leader.lead)])
+            await Supervisor(f'leader.{fleet}').run([Child('lease', leader.lease.keep), Child('plan', leader.run)])
 
 
 __all__ = ('Leaders',)
--- a/packages/sesamepoint/src/sesamepoint/entry/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/admission.py
@@ -1,4 +1,4 @@
-"""What an entry lets in: account limits, and reserves of the deadline."""
+"""Admission of requests by account rate limits and deadline margins."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Admission:
-    """Decides before any runner is looked at, and learns from what came of it."""
+    """Checks account limits before a runner is chosen and adapts deadline margins to outcomes."""
 
     def __init__(self, follower: Follower, fleets: Fleets) -> None:
         """Start without history."""
@@ -29,24 +29,24 @@
         self._accounts = AccountLimits()
         self._margins: defaultdict[tuple[str, bool], DeadlineMargin] = defaultdict(DeadlineMargin)
 
-    def over_limit(self, req: CallerRequest) -> NotRun | None:
-        """Return the refusal of a request that is over its account's rate."""
-        rate = self._follower.in_force.preset['account_rate']
-        entries = self._fleets.entries(req.fleet)
+    def check_account_rate(self, req: CallerRequest) -> NotRun | None:
+        """Return a refusal if the request exceeds its account's rate limit, else None."""
+        rate = self._follower.active_configuration.preset['account_rate']
+        entries = self._fleets.instance_count(req.fleet)
         wait_s = self._accounts.wait_s(trio.current_time(), req.account, rate, entries)
         if not wait_s:
             return None
-        return NotRun(ACCOUNT_LIMIT, 'send fewer, or ask for a higher account_rate', wait_s)
+        return NotRun(ACCOUNT_LIMIT, 'send fewer requests, or ask for a higher account_rate', wait_s)
 
     def deadline_share(self, req: CallerRequest) -> float:
-        """Return the part of its time in which a request must be done."""
+        """Return the share of its timeout within which a request must be expected to finish."""
         share = 1 - self._margin(req).share
         if req.job.urgent:
             return share
-        return share * self._follower.in_force.preset['small_deadline_share']
+        return share * self._follower.active_configuration.preset['small_deadline_share']
 
     def observe(self, req: CallerRequest, *, late: bool) -> None:
-        """Learn from a request that was let in."""
+        """Update the deadline margin with the outcome of an admitted request."""
         self._margin(req).observe(late=late)
 
     def _margin(self, req: CallerRequest) -> DeadlineMargin:
--- a/packages/sesamepoint/src/sesamepoint/entry/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one runner, resumed over as many connections as needed."""
+"""Attempt at one runner, resumed on new connections when one is lost."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from sesamepoint_core.answer.assembly import Assembler
 from sesamepoint_core.errors import LinkLostError
 from sesamepoint import events
-from sesamepoint.link.messages import DEADLINE_PASSED, CancelRequest, End, Frame, FrameKind, RunRequest
+from sesamepoint.link.messages import DEADLINE_PASSED, AttemptOutcome, CancelRequest, Frame, FrameKind, RunRequest
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
 
     from sesamepoint.entry.request import CallerRequest
-    from sesamepoint.entry.view import RunnerView
+    from sesamepoint.entry.runner_view import RunnerView
 
-SILENCE_S = 12.0
+FRAME_TIMEOUT_S = 12.0
 MAX_CONNECTIONS = 4
-RECONNECT_S = 0.1
-CANCEL_WAIT_S = 2.0
+RECONNECT_DELAY_S = 0.1
+CANCEL_TIMEOUT_S = 2.0
 
 
-class AttemptEnd(NamedTuple):
-    """How an attempt ended, as the entry could find out.
+class AttemptResult(NamedTuple):
+    """Outcome of an attempt, as far as this instance knows it.
 
-    ``released`` counts the chunks that were handed on.
+    The number counts the chunks passed on to the caller.
     """
 
-    end: End
+    outcome: AttemptOutcome
     code: str
-    released: int
+    released_chunks: int
 
 
-class EntryAttempt:
-    """Sends one attempt and listens until it is settled."""
+class RunnerAttempt:
+    """Sends one attempt to a runner and receives its frames until the outcome is known."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         req: CallerRequest,
         emit: Callable[[bytes], Awaitable[None]],
     ) -> None:
-        """Aim at ``view``; chunks go to ``emit`` in order, once each."""
+        """Prepare an attempt at the runner of ``view``; chunks go to ``emit`` in order, once each."""
         self._name = name
         self._view = view
         self._req = req
@@ -53,79 +53,83 @@
         self._incarnation = view.report.incarnation if view.report else ''
         self._assembler = Assembler()
 
-    async def run(self, deadline: float) -> AttemptEnd:
-        """Run to the end, or to ``deadline`` on trio's clock."""
-        self._view.begin(self._name, self._req.job)
+    async def run(self, deadline: float) -> AttemptResult:
+        """Run until the attempt ends, or until ``deadline`` on trio's clock."""
+        self._view.add_attempt(self._name, self._req.job)
         try:
-            return await self._until(deadline)
+            return await self._run_until(deadline)
         except trio.Cancelled:
             with trio.CancelScope(shield=True):
-                await self._give_up(End.cancelled, 'caller_gone')
+                await self._cancel(AttemptOutcome.cancelled, 'caller_gone')
             raise
         finally:
-            self._view.finish(self._name)
+            self._view.remove_attempt(self._name)
 
-    async def _until(self, deadline: float) -> AttemptEnd:
+    async def _run_until(self, deadline: float) -> AttemptResult:
         with trio.move_on_at(deadline):
-            return await self._listen(deadline)
-        return await self._give_up(End.cancelled, DEADLINE_PASSED)
+            return await self._run_with_reconnects(deadline)
+        return await self._cancel(AttemptOutcome.cancelled, DEADLINE_PASSED)
 
-    async def _listen(self, deadline: float) -> AttemptEnd:
+    async def _run_with_reconnects(self, deadline: float) -> AttemptResult:
         for connection in range(MAX_CONNECTIONS):
             if connection:
-                # The agent still has the attempt: ask it to go on from the
-                # chunk that is missing. That is no second run.
+                # The agent keeps the attempt: ask it to continue from the
+                # first missing chunk. This does not start a second run.
                 events.log_event(events.ATTEMPT_RESUMED, attempt=self._name, from_chunk=self._assembler.released)
-                await trio.sleep(RECONNECT_S * connection)
+                await trio.sleep(RECONNECT_DELAY_S * connection)
             generation = self._link.generation
             try:
-                return await self._stream(deadline, resume=connection > 0)
+                return await self._run_on_connection(deadline, resume=connection > 0)
             except LinkLostError:
                 self._link.renew(generation)
-        return await self._give_up(End.unknown, 'runner_lost')
+        return await self._cancel(AttemptOutcome.unknown, 'runner_lost')
 
-    async def _stream(self, deadline: float, *, resume: bool) -> AttemptEnd:
-        left_s = deadline - trio.current_time()
-        req = RunRequest(self._name, self._incarnation, self._assembler.released, resume, left_s, self._req.job)
+    async def _run_on_connection(self, deadline: float, *, resume: bool) -> AttemptResult:
+        remaining_s = deadline - trio.current_time()
+        req = RunRequest(self._name, self._incarnation, self._assembler.released, resume, remaining_s, self._req.job)
         async with self._link.run(req) as frames:
             while True:
                 frame = await self._next_frame(frames)
                 if frame.kind is FrameKind.chunk:
-                    await self._release(frame)
+                    await self._release_chunks(frame)
                 elif frame.kind is FrameKind.end:
-                    return self._settle(frame)
+                    return self._finish(frame)
 
     async def _next_frame(self, frames: AsyncIterator[Frame]) -> Frame:
-        with trio.move_on_after(SILENCE_S):
+        with trio.move_on_after(FRAME_TIMEOUT_S):
             return await anext(frames)
-        raise LinkLostError(self._view.cfg['agent'], f'silent for {SILENCE_S} s')
+        raise LinkLostError(self._view.cfg['agent'], f'no frame received for {FRAME_TIMEOUT_S} s')
 
-    async def _release(self, frame: Frame) -> None:
+    async def _release_chunks(self, frame: Frame) -> None:
         for chunk in self._assembler.push(frame.number, frame.payload):
             await self._emit(chunk)
 
-    def _settle(self, frame: Frame) -> AttemptEnd:
+    def _finish(self, frame: Frame) -> AttemptResult:
         if frame.load is not None:
-            self._view.take_report(frame.load, trio.current_time())
+            self._view.on_report(frame.load, trio.current_time())
         released = self._assembler.released
-        self._assembler.finish(frame.number)
-        if frame.end is End.answered and not self._assembler.complete:
-            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks came')
-        return AttemptEnd(frame.end, frame.code, released)
+        self._assembler.set_total(frame.number)
+        if frame.outcome is AttemptOutcome.answered and not self._assembler.complete:
+            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks received')
+        return AttemptResult(frame.outcome, frame.code, released)
 
-    async def _give_up(self, end: End, code: str) -> AttemptEnd:
-        """Stop the attempt; take the agent's word for what it came to."""
+    async def _cancel(self, outcome: AttemptOutcome, code: str) -> AttemptResult:
+        """Cancel the attempt and return its outcome.
+
+        It is ``not_started`` if the agent says so, ``unknown`` if the agent
+        does not reply, and the given one otherwise.
+        """
         generation = self._link.generation
-        with trio.move_on_after(CANCEL_WAIT_S):
+        with trio.move_on_after(CANCEL_TIMEOUT_S):
             try:
                 reply = await self._link.cancel(CancelRequest(self._name, self._incarnation))
             except LinkLostError:
                 self._link.renew(generation)
-                return AttemptEnd(End.unknown, code, self._assembler.released)
-            if reply.end is End.not_started:
-                return AttemptEnd(End.not_started, code, self._assembler.released)
-            return AttemptEnd(end, code, self._assembler.released)
-        return AttemptEnd(End.unknown, code, self._assembler.released)
+                return AttemptResult(AttemptOutcome.unknown, code, self._assembler.released)
+            if reply.outcome is AttemptOutcome.not_started:
+                return AttemptResult(AttemptOutcome.not_started, code, self._assembler.released)
+            return AttemptResult(outcome, code, self._assembler.released)
+        return AttemptResult(AttemptOutcome.unknown, code, self._assembler.released)
 
 
-__all__ = ('AttemptEnd', 'EntryAttempt')
+__all__ = ('AttemptResult', 'RunnerAttempt')
--- a/packages/sesamepoint/src/sesamepoint/entry/parse.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/parse.py
@@ -1,4 +1,4 @@
-"""Turning a caller's HTTP request into a checked one."""
+"""Parsing and validation of callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
     from sesamepoint.entry.fleets import Fleets
 
 PRIORITIES = MappingProxyType({'main': True, 'small': False})
-REPEATABLE = MappingProxyType({'true': True, 'false': False})
+REPEATABLE_VALUES = MappingProxyType({'true': True, 'false': False})
 SERVICES_PATH = '/services/'
-SAFE_METHODS = frozenset(('GET', 'HEAD', 'PUT', 'DELETE'))
+IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'PUT', 'DELETE'))
 
 
 class BadRequestError(SesamepointError):
-    """A request that reaches no upstream."""
+    """Raised for an invalid request; it is not sent to any upstream."""
 
     def __init__(self, code: str, found: str, remedy: str) -> None:
-        """Keep the machine-readable code beside the message."""
+        """Store the machine-readable code along with the message."""
         super().__init__(found, remedy)
         self.code = code
 
 
 class RawRequest(NamedTuple):
-    """A request as HTTP gave it; header names are lower case."""
+    """HTTP request before validation; header names are in lower case."""
 
     method: str
     path: str
@@ -45,7 +45,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """The fields of an OpenAI-style completion request that are read."""
+    """Fields of an OpenAI-style completion request that are used here."""
 
     model: str
     prompt: str
@@ -56,12 +56,12 @@
 
 
 def parse_completion(raw: RawRequest, fleets: Fleets) -> CallerRequest:
-    """Check a completion request.
+    """Parse and validate a completion request.
 
     Raises
     ------
     BadRequestError
-        With a code and the remedy, on the first thing that is wrong.
+        For the first fault found, with a code and a remedy.
     """
     body = _completion_body(raw.body)
     fleet = fleets.fleet_of_model(body.model)
@@ -74,48 +74,50 @@
             f'the prompt has about {prompt_tokens} tokens',
             f'send at most {input_limits.MAX_PROMPT_TOKENS}',
         )
-    urgent = _choice(raw.headers, 'x-priority', PRIORITIES, default=True)
-    job = Job('engine', raw.method, raw.path, raw.body, prompt_tokens, body.max_tokens, urgent, *_prefix(body.prompt))
-    return _with_headers(raw, fleet, job, streamed=body.stream)
+    urgent = _parse_choice(raw.headers, 'x-priority', PRIORITIES, default=True)
+    job = Job(
+        'engine', raw.method, raw.path, raw.body, prompt_tokens, body.max_tokens, urgent, *_prompt_prefix(body.prompt)
+    )
+    return _make_request(raw, fleet, job, streamed=body.stream)
 
 
 def parse_plain(raw: RawRequest, fleets: Fleets) -> CallerRequest:
-    """Check a call to a plain service: ``/services/FLEET/PATH``.
+    """Parse and validate a call to a plain service: ``/services/FLEET/PATH``.
 
     Raises
     ------
     BadRequestError
-        With a code and the remedy, on the first thing that is wrong.
+        For the first fault found, with a code and a remedy.
     """
     name, slash, path = raw.path.removeprefix(SERVICES_PATH).partition('/')
     fleet = fleets.fleet(name)
     if fleet is None or fleet['kind'] != 'plain':
         raise BadRequestError('unknown_service', f'there is no plain service {name!r}', 'name a configured fleet')
-    urgent = _choice(raw.headers, 'x-priority', PRIORITIES, default=False)
+    urgent = _parse_choice(raw.headers, 'x-priority', PRIORITIES, default=False)
     job = Job('plain', raw.method, slash + path, raw.body, 0, 0, urgent, '', 0)
-    return _with_headers(raw, name, job, streamed=False)
+    return _make_request(raw, name, job, streamed=False)
 
 
 def _completion_body(body: bytes) -> CompletionBody:
     try:
         return msgspec.json.decode(body, type=CompletionBody)
     except msgspec.ValidationError as exc:
-        raise BadRequestError('bad_field', str(exc), 'mend that field') from exc
+        raise BadRequestError('bad_field', str(exc), 'correct that field') from exc
     except msgspec.DecodeError as exc:
         raise BadRequestError('not_json', f'the body is not JSON: {exc}', 'send a JSON object') from exc
 
 
-def _with_headers(raw: RawRequest, fleet: str, job: Job, *, streamed: bool) -> CallerRequest:
+def _make_request(raw: RawRequest, fleet: str, job: Job, *, streamed: bool) -> CallerRequest:
     key = raw.headers.get('idempotency-key', '')
     if len(key) > input_limits.MAX_KEY_CHARS:
         raise BadRequestError('key_too_long', f'the idempotency key has {len(key)} characters', 'use at most 128')
-    safe = job.kind == 'engine' or job.method in SAFE_METHODS
-    repeatable = _choice(raw.headers, 'x-repeatable', REPEATABLE, default=safe)
+    safe = job.kind == 'engine' or job.method in IDEMPOTENT_METHODS
+    repeatable = _parse_choice(raw.headers, 'x-repeatable', REPEATABLE_VALUES, default=safe)
     account = raw.headers.get('x-account', 'anonymous')
-    return CallerRequest(fleet, job, _timeout_s(raw.headers), repeatable, key, account, streamed)
+    return CallerRequest(fleet, job, _parse_timeout_s(raw.headers), repeatable, key, account, streamed)
 
 
-def _timeout_s(headers: Mapping[str, str]) -> float:
+def _parse_timeout_s(headers: Mapping[str, str]) -> float:
     text = headers.get('x-timeout-ms')
     if text is None:
         return input_limits.DEFAULT_TIMEOUT_S
@@ -124,11 +126,11 @@
     except ValueError as exc:
         raise BadRequestError('bad_timeout', f'x-timeout-ms is {text!r}', 'send whole milliseconds') from exc
     if timeout_s <= 0:
-        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the time that is left, above 0')
+        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the remaining time, above 0')
     return min(timeout_s, input_limits.MAX_TIMEOUT_S)
 
 
-def _choice(headers: Mapping[str, str], name: str, choices: Mapping[str, bool], *, default: bool) -> bool:
+def _parse_choice(headers: Mapping[str, str], name: str, choices: Mapping[str, bool], *, default: bool) -> bool:
     text = headers.get(name)
     if text is None:
         return default
@@ -137,7 +139,7 @@
     return choices[text]
 
 
-def _prefix(prompt: str) -> tuple[str, int]:
+def _prompt_prefix(prompt: str) -> tuple[str, int]:
     if len(prompt) < input_limits.PREFIX_CHARS:
         return '', 0
     head = prompt[: input_limits.PREFIX_CHARS].encode(errors='replace')
--- a/packages/sesamepoint/src/sesamepoint/http1/server.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/server.py
@@ -46,7 +46,7 @@
 class ReceivedRequest(NamedTuple):
     """A complete request.
 
-    The arrival time is on trio's clock; ``new_caller`` is the address of the caller.
+    The arrival time is on trio's clock; ``caller`` is the address of the caller.
     """
 
     head: RequestHead
--- a/packages/sesamepoint/src/sesamepoint/http1/transport.py
+++ b/packages/sesamepoint/src/sesamepoint/http1/transport.py
@@ -55,7 +55,7 @@
     """A transport over a TCP socket."""
 
     def __init__(self, stream: trio.SocketStream, pacer: LinkPacer | None = None) -> None:
-        """Take ownership of ``stream``; ``token_bucket``, if given, paces its sends."""
+        """Take ownership of ``stream``; ``pacer``, if given, paces its sends."""
         self._stream = stream
         self._pacer = pacer
         self.peer = _peer_host(stream)
@@ -90,7 +90,7 @@
     """Opens connections over TCP sockets."""
 
     def __init__(self, pacer: LinkPacer | None = None) -> None:
-        """Let ``token_bucket``, if given, pace the sends of all connections."""
+        """Let ``pacer``, if given, pace the sends of all connections."""
         self._pacer = pacer
 
     async def connect(self, address: Address, timeout_s: float) -> Transport:
--- a/packages/sesamepoint/src/sesamepoint/link/grpc_server.py
+++ b/packages/sesamepoint/src/sesamepoint/link/grpc_server.py
@@ -32,7 +32,7 @@
 
     from sesamepoint.link.base import AgentHandler
 
-SERVICE = '/sesamepoint.Agent/'
+SERVICE_PREFIX = '/sesamepoint.Agent/'
 
 
 class AgentService:
@@ -43,32 +43,33 @@
         self._handler = handler
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Tell grpclib the methods."""
+        """Return the gRPC methods and their handlers."""
         unary = Cardinality.UNARY_UNARY
         return {
-            f'{SERVICE}Run': Handler(self._run, Cardinality.UNARY_STREAM, RunRequest, Frame),
-            f'{SERVICE}Cancel': Handler(_unary(self._handler.cancel), unary, CancelRequest, CancelReply),
-            f'{SERVICE}Beat': Handler(_unary(self._handler.beat), unary, BeatRequest, LoadReport),
-            f'{SERVICE}Sync': Handler(_unary(self._handler.sync), unary, SyncRequest, SyncReply),
-            f'{SERVICE}Claim': Handler(_unary(self._handler.claim), unary, ClaimRequest, ClaimReply),
-            f'{SERVICE}Settle': Handler(_unary(self._handler.settle), unary, SettleRequest, SettleReply),
+            f'{SERVICE_PREFIX}Run': Handler(self._run, Cardinality.UNARY_STREAM, RunRequest, Frame),
+            f'{SERVICE_PREFIX}Cancel': Handler(_unary_handler(self._handler.cancel), unary, CancelRequest, CancelReply),
+            f'{SERVICE_PREFIX}Beat': Handler(_unary_handler(self._handler.beat), unary, BeatRequest, LoadReport),
+            f'{SERVICE_PREFIX}Sync': Handler(_unary_handler(self._handler.sync), unary, SyncRequest, SyncReply),
+            f'{SERVICE_PREFIX}Claim': Handler(_unary_handler(self._handler.claim), unary, ClaimRequest, ClaimReply),
+            f'{SERVICE_PREFIX}Settle': Handler(_unary_handler(self._handler.settle), unary, SettleRequest, SettleReply),
         }
 
     async def _run(self, stream: Stream[Any, Any]) -> None:
         req = await stream.recv_message()
-        # Frames cross from trio to asyncio by a plain call: both loops are
-        # one thread, and a crossing per token would cost more than the token.
+        # Frames pass from trio to asyncio by a plain call: both loops run in
+        # one thread, and switching loops for each token would cost more than
+        # the token itself.
         frames: asyncio.Queue[Frame] = asyncio.Queue()
         pump = asyncio.ensure_future(trio_asyncio.trio_as_aio(self._handler.run)(req, frames.put_nowait))
         try:
-            await _forward(frames, stream)
+            await _forward_frames(frames, stream)
         finally:
             pump.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await pump
 
 
-async def _forward(frames: asyncio.Queue[Frame], stream: Stream[Any, Any]) -> None:
+async def _forward_frames(frames: asyncio.Queue[Frame], stream: Stream[Any, Any]) -> None:
     ended = False
     while not ended:
         frame = await frames.get()
@@ -76,7 +77,7 @@
         ended = frame.kind is FrameKind.end
 
 
-def _unary(call: Callable[[Any], Awaitable[Any]]) -> Callable[[Any], Awaitable[None]]:
+def _unary_handler(call: Callable[[Any], Awaitable[Any]]) -> Callable[[Any], Awaitable[None]]:
     async def answer(stream: Stream[Any, Any]) -> None:  # noqa: WPS430
         req = await stream.recv_message()
         await stream.send_message(await trio_asyncio.trio_as_aio(call)(req))
@@ -96,7 +97,7 @@
     Raises
     ------
     OSError
-        If the address is taken.
+        If the address is in use.
     """
     async with trio_asyncio.open_loop():
         server = Server([AgentService(handler)], codec=MessagePackCodec())
@@ -110,4 +111,4 @@
                 await trio_asyncio.aio_as_trio(server.wait_closed)()
 
 
-__all__ = ('SERVICE', 'AgentService', 'serve_agent')
+__all__ = ('SERVICE_PREFIX', 'AgentService', 'serve_agent')
--- a/packages/sesamepoint/src/sesamepoint/log_output.py
+++ b/packages/sesamepoint/src/sesamepoint/log_output.py
@@ -57,7 +57,7 @@
         self._refilled_at = time.monotonic()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether ``registration`` is written.
+        """Return whether ``record`` is written.
 
         The next line that passes gets the number of suppressed ones as a field.
         """
--- a/packages/sesamepoint/src/sesamepoint/platform/headers.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/headers.py
@@ -132,7 +132,7 @@
 
 
 def responding_incarnation(response: ResponseHead, incarnation: str) -> str:
-    """Return the incarnation that has responded where ``unique_ids`` was expected."""
+    """Return the incarnation that has responded where ``incarnation`` was expected."""
     responder = header(response.headers, wire_names.INCARNATION) if response.status == MISDIRECTED else None
     return incarnation if responder is None else responder.decode('latin-1')
 
--- a/packages/sesamepoint/src/sesamepoint/platform/settings.py
+++ b/packages/sesamepoint/src/sesamepoint/platform/settings.py
@@ -16,7 +16,7 @@
 
 
 def read_settings(path: Path) -> FrontSettings:
-    """Read the settings file ``placement``: lines of ``name=value``.
+    """Read the settings file ``path``: lines of ``name=value``.
 
     Raises
     ------
--- a/packages/sesamepoint/src/sesamepoint/process/agent_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/agent_process.py
@@ -10,8 +10,8 @@
 
 from sesamepoint import events
 from sesamepoint.agent.agent import Agent
-from sesamepoint.agent.tree import agent_children
-from sesamepoint.keys.homes import KeyHomes
+from sesamepoint.agent.children import agent_children
+from sesamepoint.keys.shard_coordinators import ShardCoordinators
 from sesamepoint.link.grpc_server import serve_agent
 from sesamepoint.process.admin import AdminApp
 from sesamepoint.process.asgi_server import serve_asgi
@@ -41,7 +41,7 @@
         parts = ProcessComponents.from_config(cfg)
         adapter = UPSTREAM_ADAPTERS.get(cfg['upstream']['adapter'])
         upstream = adapter.from_config(cfg['upstream'])
-        homes = KeyHomes(parts.log, cfg['deployment'], parts.incarnation, time.time)
+        homes = ShardCoordinators(parts.log, cfg['deployment'], parts.incarnation, time.time)
         return cls(cfg, parts, Agent(cfg['runner'], upstream, parts.follower, homes))
 
     async def run(self) -> None:
@@ -59,7 +59,7 @@
 
     async def wind_down(self) -> None:
         """Accept no new requests, give entries time to notice, finish running requests."""
-        self._agent.leaving = True
+        self._agent.draining = True
         await trio.sleep(DRAIN_NOTICE_S)
         await self._agent.drained()
 
--- a/packages/sesamepoint/src/sesamepoint/process/entry_process.py
+++ b/packages/sesamepoint/src/sesamepoint/process/entry_process.py
@@ -9,10 +9,10 @@
 from prometheus_client import CollectorRegistry
 
 from sesamepoint import events
-from sesamepoint.entry.entry import Entry
+from sesamepoint.entry.caller_app import CallerApp
+from sesamepoint.entry.children import instance_children
 from sesamepoint.entry.fleets import Fleets
-from sesamepoint.entry.http import CallerApp
-from sesamepoint.entry.tree import entry_children
+from sesamepoint.entry.request_server import RequestServer
 from sesamepoint.link.grpc_client import GrpcLink
 from sesamepoint.process.admin import AdminApp
 from sesamepoint.process.asgi_server import serve_asgi
@@ -29,7 +29,7 @@
 class EntryProcess:
     """The components of one entry process, and their supervisor tree."""
 
-    def __init__(self, cfg: EntrySettings, components: ProcessComponents, entry: Entry) -> None:
+    def __init__(self, cfg: EntrySettings, components: ProcessComponents, entry: RequestServer) -> None:
         """Assemble the components without starting them."""
         self._cfg = cfg
         self._components = components
@@ -42,7 +42,7 @@
         """Build the process from the entry's settings."""
         parts = ProcessComponents.from_config(cfg)
         fleets = Fleets(parts.follower, parts.instances, GrpcLink, parts.rng)
-        return cls(cfg, parts, Entry(cfg['availability_zone'], parts.follower, fleets, parts.rng))
+        return cls(cfg, parts, RequestServer(cfg['availability_zone'], parts.follower, fleets, parts.rng))
 
     async def run(self) -> None:
         """Run the tree until cancelled."""
@@ -66,7 +66,7 @@
 
     def _children(self) -> list[Child]:
         return [
-            *entry_children(self._entry),
+            *instance_children(self._entry),
             Child('callers', self._serve_callers),
             Child('admin', self._serve_admin),
         ]
@@ -83,7 +83,7 @@
 
     def _state(self) -> object:
         state = self._components.follower.state
-        heard_s = trio.current_time() - self._components.follower.heard_at
+        heard_s = trio.current_time() - self._components.follower.last_read_at
         runners = {name: view.report for name, view in self._entry.fleets.views.items() if view.alive}
         return {'version': state.version, 'offset': state.offset, 'log_heard_s': heard_s, 'runners': runners}
 
--- a/packages/sesamepoint/src/sesamepoint/settings/load.py
+++ b/packages/sesamepoint/src/sesamepoint/settings/load.py
@@ -32,7 +32,7 @@
 
 
 def load_settings(path: Path, settings_type: type[SettingsT]) -> SettingsT:
-    """Read and validate the settings file ``placement``.
+    """Read and validate the settings file ``path``.
 
     Raises
     ------
@@ -43,7 +43,7 @@
 
 
 def validate_settings(path: Path, document: Any, settings_type: type[SettingsT]) -> SettingsT:
-    """Validate ``document`` against a type; ``placement`` is its source, for errors.
+    """Validate ``document`` against a type; ``path`` is its source, for errors.
 
     Raises
     ------
--- a/packages/sesamepoint/src/sesamepoint/upstream/plain.py
+++ b/packages/sesamepoint/src/sesamepoint/upstream/plain.py
@@ -1,4 +1,4 @@
-"""A plain service: one call in, one reply out."""
+"""Adapter of a plain HTTP service, with one call for each request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from sesamepoint.upstream.base import NO_LOAD, UPSTREAM_ADAPTERS, OrderRefusedError, UpstreamLoad
-from sesamepoint.upstream.http import UpstreamHttp
+from sesamepoint.upstream.http_client import UpstreamHttpClient
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -19,7 +19,7 @@
 
 
 class ReplyHead(NamedTuple):
-    """The first chunk of a plain answer: what stood above the body."""
+    """First chunk of a plain service's answer: status and content type of the response."""
 
     status: int
     content_type: str
@@ -27,34 +27,34 @@
 
 @UPSTREAM_ADAPTERS.register('plain')
 class PlainAdapter:
-    """Passes calls on by path."""
+    """Forwards a request's method, path and body to the service."""
 
-    def __init__(self, http: UpstreamHttp) -> None:
-        """Use ``http_client`` for all calls."""
+    def __init__(self, http: UpstreamHttpClient) -> None:
+        """Use ``http`` for all calls."""
         self._http = http
         self._running = 0
 
     @classmethod
     def from_config(cls, cfg: ServiceSettings) -> PlainAdapter:
         """Build from the settings of the upstream."""
-        return cls(UpstreamHttp(cfg['url']))
+        return cls(UpstreamHttpClient(cfg['url']))
 
     async def start(self, attempt: str, job: Job) -> AsyncGenerator[bytes, None]:
-        """Make the call and yield its head, then its body."""
+        """Make the call and yield the head of the response, then its body."""
         self._running += 1
         try:
             reply = await self._http.call(job.method, job.path, job.body)
         finally:
             self._running -= 1
-        kinds = [text for name, text in reply.headers if name.lower() == CONTENT_TYPE]
-        yield msgspec.json.encode(ReplyHead(reply.status, kinds[0].decode() if kinds else ''))
+        content_types = [text for name, text in reply.headers if name.lower() == CONTENT_TYPE]
+        yield msgspec.json.encode(ReplyHead(reply.status, content_types[0].decode() if content_types else ''))
         yield reply.content
 
     async def cancel(self, attempt: str) -> None:
-        """Do nothing: a plain call cannot be stopped."""
+        """Do nothing: a call to a plain service can't be stopped."""
 
     async def load(self) -> UpstreamLoad:
-        """Tell how many calls are under way; the service has no report."""
+        """Return the number of calls in progress; the service reports no load."""
         return NO_LOAD._replace(running=self._running)
 
     async def order(self, role: str, fence: int) -> None:
--- a/tests/ctl/test_content_search.py
+++ b/tests/ctl/test_content_search.py
@@ -1,4 +1,4 @@
-"""A request that comes again under new ids, found by what it asks."""
+"""Tests of the search for sends of one request under several ids, by content id."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 from sesamepoint import events
 from sesamectl.cli import main
-from sesamectl.content_search import find_content
-from tests.ctl.builders import ended, line
+from sesamectl.content_search import find_sends
+from tests.ctl.builders import end_line, log_line
 
 
-def broke(request: str, runner: str, second: int, asks: str = 'c1') -> str:
-    """Return the line of a send that broke off."""
-    return line(
+def broken_send_line(request: str, runner: str, second: int, content_id: str = 'c1') -> str:
+    """Return the log line of a send that broke off."""
+    return log_line(
         events.ATTEMPT_ENDED,
         second,
         request=request,
         runner=runner,
         outcome='broken',
         cause='reset',
-        content=asks,
+        content=content_id,
         under_way_ms=90,
         beside=3,
     )
 
 
 def logs() -> list[str]:
-    """Return two attempts with one request, of two sends each, and another request."""
+    """Return log lines of two attempts with one request, of two sends each, and of another request."""
     return [
-        broke('again', 'i-9', 12),
-        broke('first', 'i-7', 10),
-        broke('first', 'i-8', 11),
-        ended('first', 11, content='c1', status=502, cause='runner_broke_off'),
-        broke('other', 'i-7', 10, asks='c2'),
-        broke('again', 'i-7', 13),
+        broken_send_line('again', 'i-9', 12),
+        broken_send_line('first', 'i-7', 10),
+        broken_send_line('first', 'i-8', 11),
+        end_line('first', 11, content='c1', status=502, cause='runner_broke_off'),
+        broken_send_line('other', 'i-7', 10, content_id='c2'),
+        broken_send_line('again', 'i-7', 13),
     ]
 
 
 class ContentSearchTest(TestCase):
-    """By content, whatever the request's id."""
+    """Search by content id, over all request ids."""
 
     def test_in_order_of_time(self) -> None:
-        *lines, total = find_content('c1', logs())
+        *lines, total = find_sends('c1', logs())
         self.assertEqual([found.split()[3] for found in lines], ['first:', 'first:', 'first:', 'again:', 'again:'])
         self.assertEqual(total, '2 attempts of callers; 3 runners broke off under it: i-7, i-8, i-9')
 
-    def test_what_befell_a_send(self) -> None:
-        self.assertIn('i-7, reset, after 90 ms, beside 3 others of this instance', find_content('c1', logs())[0])
+    def test_broken_send_described(self) -> None:
+        self.assertIn('i-7, reset, after 90 ms, beside 3 others of this instance', find_sends('c1', logs())[0])
 
     def test_unknown(self) -> None:
-        self.assertEqual(find_content('c3', logs()), ['0 attempts of callers; 0 runners broke off under it'])
+        self.assertEqual(find_sends('c3', logs()), ['0 attempts of callers; 0 runners broke off under it'])
 
     def test_command(self) -> None:
         with TemporaryDirectory() as folder:
--- a/tests/front/limited_runners.py
+++ b/tests/front/limited_runners.py
@@ -22,7 +22,7 @@
 
 
 class Load(NamedTuple):
-    """Load of ``speed_meters`` requests per second for a time in seconds, each at a random instance."""
+    """Load of ``rate`` requests per second for a time in seconds, each at a random instance."""
 
     request: Callable[[], RequestSpec]
     rate: float
--- a/tests/front/test_account_flood.py
+++ b/tests/front/test_account_flood.py
@@ -17,7 +17,7 @@
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import account, bearer_header, configuration, engine
 from tests.front.burst import BURST_S, FRONTS, LONG_PER_S, long_prompt
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 SMALL = tuple(f'small{number}' for number in range(8))
 SMALL_PER_S = 1.5
@@ -51,7 +51,7 @@
                 nursery.start_soon(self._send_at_rate, name, SMALL_PER_S, 1)
 
     def served_share(self, names: tuple[str, ...]) -> float:
-        """Return the share of the requests of the accounts ``wire_names`` that was served."""
+        """Return the share of the requests of the accounts ``names`` that was served."""
         served = [one.served for one in self.requests if one.account in names]
         return sum(served) / len(served)
 
@@ -80,7 +80,7 @@
 class FloodTest(TestCase):
     """Share of the small accounts under a flood."""
 
-    @virtual
+    @in_virtual_time
     async def test_small_accounts_are_not_starved(self) -> None:
         """Guard against a large account that takes nearly all capacity by sending more requests than can be served.
 
--- a/tests/front/test_cache_inventory.py
+++ b/tests/front/test_cache_inventory.py
@@ -11,7 +11,7 @@
 from sesamepoint.front.cache_inventory import CacheInventory
 from sesamepoint_standins.platform.bench import open_bench
 from tests.front.builders import configuration, engine, new_prompt_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 SHARED_BLOCK = ('terms', 13_000)
 # Time until a started front has loaded the inventories of its engines.
@@ -38,7 +38,7 @@
 class RestartTest(TestCase):
     """Instances that restart while engines keep their caches."""
 
-    @virtual
+    @in_virtual_time
     async def test_restart_finds_shared_block(self) -> None:
         """Guards against a full prefill of the first long prompt after all instances lost power.
 
@@ -51,7 +51,7 @@
         self.assertLess(with_inventory_s, 0.09)
         self.assertGreater(without_inventory_s, 0.15)
 
-    @virtual
+    @in_virtual_time
     async def test_engine_refuses_inventory(self) -> None:
         """Engines refuse to report their cache: requests are served nevertheless."""
         runners = [engine(1, 'prefill'), engine(2, 'decode')]
--- a/tests/front/test_connection_pool.py
+++ b/tests/front/test_connection_pool.py
@@ -18,7 +18,7 @@
 
 
 async def run_with_listener(check: Callable[[trio.SocketListener, ConnectionPool], Awaitable[None]]) -> None:
-    """Run ``check_list`` with a listener and a pool of connections to it."""
+    """Run ``check`` with a listener and a pool of connections to it."""
     listener = (await trio.open_tcp_listeners(0, host=HOST))[0]
     async with listener:
         port = listener.socket.getsockname()[1]
--- a/tests/front/test_draining_header.py
+++ b/tests/front/test_draining_header.py
@@ -18,7 +18,7 @@
 from sesamepoint_standins.platform.status_bounds import draining_violations
 from tests.front.builders import configuration, new_prompt_request
 from tests.front.limited_runners import FRONTS, Load, engines, plain_request, plain_runners, send, short_prompt
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -56,7 +56,7 @@
 class DrainingTest(TestCase):
     """Requests that reach a runner after it has announced in an answer that it is draining."""
 
-    @virtual
+    @in_virtual_time
     async def test_engine_during_store_outage(self) -> None:
         """Guards against requests to an engine after it announced that it is draining."""
         runners = engines(0, 4)
@@ -64,7 +64,7 @@
             await drain_during_outage(bench, runners[0], Load(short_prompt, 90, DURATION_S))
         self.assertEqual(draining_violations(runners[0]), [])
 
-    @virtual
+    @in_virtual_time
     async def test_plain_runner_during_store_outage(self) -> None:
         """Guards against requests to a plain runner after it announced that it is draining."""
         runners = plain_runners(0, 4)
@@ -76,7 +76,7 @@
 class DrainingSendsTest(TestCase):
     """Kinds of sends, and states of the system, in which the draining header could be missed."""
 
-    @virtual
+    @in_virtual_time
     async def test_prefill_engine_during_store_outage(self) -> None:
         """Guards against remote prefills, and calls that free memory, at an engine that is draining."""
         runners = engines(0, 4)
@@ -88,7 +88,7 @@
         self.assertTrue(prefill_engine.status_reports)
         self.assertEqual(draining_violations(prefill_engine, IMMEDIATE_S), [])
 
-    @virtual
+    @in_virtual_time
     async def test_decode_steps_and_retries(self) -> None:
         """Guards against decode steps and retries that were planned at an engine before it began to drain."""
         runners = engines(0, 4)
@@ -101,7 +101,7 @@
         self.assertTrue(runners[0].status_reports)
         self.assertEqual(draining_violations(runners[0], IMMEDIATE_S), [])
 
-    @virtual
+    @in_virtual_time
     async def test_header_in_failed_answers(self) -> None:
         """Guards against a draining header that is read in successful answers only."""
         runners = plain_runners(0, 4)
@@ -111,7 +111,7 @@
         self.assertTrue(runners[0].status_reports)
         self.assertEqual(draining_violations(runners[0], IMMEDIATE_S), [])
 
-    @virtual
+    @in_virtual_time
     async def test_announced_to_peers(self) -> None:
         """Guards against instances that only learn of the drain from an answer to a request of their own."""
         runners = plain_runners(0, 4)
@@ -120,7 +120,7 @@
         first = min(answer.reported_at for answer in runners[0].status_reports)
         self.assertEqual([at for at in runners[0].arrivals if at > first + IMMEDIATE_S], [])
 
-    @virtual
+    @in_virtual_time
     async def test_announced_to_new_peers(self) -> None:
         """Guards against an instance that starts later and learns of the drain from a request of its own."""
         runners = plain_runners(0, 4)
@@ -134,7 +134,7 @@
             await send(bench, Random(2), Load(plain_request, 60, 2), [f'front-{FRONTS + 1}'])
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
-    @virtual
+    @in_virtual_time
     async def test_announcement_lost(self) -> None:
         """Guards against an announcement to peers that is sent once and lost."""
         runners = plain_runners(0, 4)
@@ -148,7 +148,7 @@
             await send(bench, Random(1), Load(plain_request, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
-    @virtual
+    @in_virtual_time
     async def test_stale_registration(self) -> None:
         """Guards against a stale registration, read late or after a rollback of the store, that says ready."""
         runners = plain_runners(0, 4)
@@ -163,7 +163,7 @@
             await send(bench, Random(2), Load(plain_request, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
-    @virtual
+    @in_virtual_time
     async def test_answers_without_the_header(self) -> None:
         """Guards against ending the draining state because of answers without the header, made before it."""
         runners = plain_runners(0, 4)
@@ -175,7 +175,7 @@
             await send(bench, Random(2), Load(plain_request, 90, 2))
         self.assertEqual([at for at in runners[0].arrivals if at > since], [])
 
-    @virtual
+    @in_virtual_time
     async def test_restarted_runner(self) -> None:
         """Guards against a draining state that is kept for a runner restarted under the same key."""
         runners = plain_runners(0, 4)
@@ -194,7 +194,7 @@
 class AllDrainingTest(TestCase):
     """What callers get while all runners of a service are draining."""
 
-    @virtual
+    @in_virtual_time
     async def test_refused_immediately(self) -> None:
         """Guards against requests that wait or are sent, rather than refused, while all runners are draining."""
         for runners, build_request in ((plain_runners(0, 2), plain_request), (engines(0, 2), short_prompt)):
@@ -221,14 +221,14 @@
 class MalformedHeaderTest(TestCase):
     """Draining headers with invalid or repeated values."""
 
-    @virtual
+    @in_virtual_time
     async def test_malformed(self) -> None:
         """Guards against excluding a runner or crashing an instance because of an invalid value."""
         for texts in ((b'',), (b'0',), (b'2',), (b'yes',), (b'0', b'0'), (b'9' * 400,), (b'\xff',)):
             with self.subTest(texts=texts):
                 self.assertGreater(await self._requests_after(texts), 20)
 
-    @virtual
+    @in_virtual_time
     async def test_repeated_header(self) -> None:
         """Guards against ignoring a valid value that comes with an invalid one."""
         for texts in ((b'0', b'1'), (b'1', b'yes'), (b'1', b'1')):
--- a/tests/front/test_engine_subset.py
+++ b/tests/front/test_engine_subset.py
@@ -14,7 +14,7 @@
 from sesamepoint.http1.transport import SocketNetwork
 from sesamepoint.platform.configuration import decode_configuration
 from tests.front.builders import encoded_configuration, permissive_send_check
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 INSTANCES = tuple(f'front-{number}' for number in range(350))
 
@@ -33,14 +33,14 @@
 class EngineSubsetTest(TestCase):
     """Each instance uses a subset, and can compute the subsets of its peers."""
 
-    @virtual
+    @in_virtual_time
     async def test_small_fleet_covered(self) -> None:
         """Guards against instances that use only a part of a small fleet."""
         subset = EngineSubset('front-1', fleet_of(SUBSET_ENGINES))
         self.assertEqual(len(subset.of_service('llm')), SUBSET_ENGINES)
         self.assertTrue(subset.covers_fleet)
 
-    @virtual
+    @in_virtual_time
     async def test_large_fleet_split_evenly(self) -> None:
         """Guards against engines that no instance, or too many instances, use.
 
@@ -59,7 +59,7 @@
         self.assertLess(max(uses.values()), 3 * len(INSTANCES) * SUBSET_ENGINES / 600)
         self.assertFalse(EngineSubset('front-1', fleet).covers_fleet)
 
-    @virtual
+    @in_virtual_time
     async def test_subsets_of_peers_agree(self) -> None:
         """Guards against a send that is announced to the wrong peers, rather than to those that use the engine."""
         fleet = fleet_of(100)
@@ -68,12 +68,12 @@
         for member in fleet.of_service('llm'):
             self.assertEqual(first.contains_at('front-2', member.runner.key), second.contains(member.runner))
 
-    @virtual
+    @in_virtual_time
     async def test_plain_services_covered(self) -> None:
         """Guards against instances that use only a part of the runners of a plain service."""
         self.assertEqual(len(EngineSubset('front-1', fleet_of(600)).of_service('web')), 40)
 
-    @virtual
+    @in_virtual_time
     async def test_fleet_grows(self) -> None:
         """The subset is computed anew when runners register."""
         fleet = fleet_of(SUBSET_ENGINES)
@@ -88,7 +88,7 @@
 class MemorySizeTest(TestCase):
     """Sizes of engine caches, which come with the configuration."""
 
-    @virtual
+    @in_virtual_time
     async def test_registered_before_configuration(self) -> None:
         """Guards against cache sizes that stay at the default if runners are read before the configuration."""
         fleet = fleet_of(1)
--- a/tests/front/test_lifecycle.py
+++ b/tests/front/test_lifecycle.py
@@ -11,7 +11,7 @@
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from sesamepoint_standins.platform.runner import EngineSpeed
 from tests.front.builders import configuration, engine, fleet, new_prompt_request, new_request, plain_runner, route
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.caller import CallerAnswer
@@ -52,7 +52,7 @@
 class ConfigurationTest(TestCase):
     """Configuration versions are applied at all instances in time and never reverted."""
 
-    @virtual
+    @in_virtual_time
     async def test_version_in_force(self) -> None:
         """Guards against a version that some instance does not apply in time."""
         async with open_bench(configuration(1), fleet(), fronts=3) as bench:
@@ -60,7 +60,7 @@
             answers = await poll_statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
-    @virtual
+    @in_virtual_time
     async def test_version_slow_store(self) -> None:
         """A version is applied in time although the store takes 0.25 s for each answer."""
         async with open_bench(configuration(1), fleet()) as bench:
@@ -70,7 +70,7 @@
             answers = await poll_statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
-    @virtual
+    @in_virtual_time
     async def test_store_history_lost(self) -> None:
         """Guards against a missed version when the store drops its history; the newest one is listed again."""
         async with open_bench(configuration(1), fleet()) as bench:
@@ -83,7 +83,7 @@
             answers = await poll_statuses(bench, '/new/a', 4)
             self.assertEqual({status for at, status in answers if at > MAX_APPLY_S}, {200})
 
-    @virtual
+    @in_virtual_time
     async def test_version_not_reverted(self) -> None:
         """Guards against an older version that arrives late and replaces a newer one."""
         async with open_bench(configuration(1), fleet()) as bench:
@@ -93,7 +93,7 @@
             answers = await poll_statuses(bench, '/new/a', 3)
             self.assertEqual({status for _, status in answers}, {200})
 
-    @virtual
+    @in_virtual_time
     async def test_version_unreadable(self) -> None:
         """A version that does not decode leaves the previous one in force."""
         async with open_bench(configuration(1), fleet()) as bench:
@@ -101,7 +101,7 @@
             await trio.sleep(MAX_APPLY_S)
             self.assertEqual((await bench.new_caller('front-1').send(new_request('/thumb/a'))).status, 200)
 
-    @virtual
+    @in_virtual_time
     async def test_store_down(self) -> None:
         """Serving goes on with the last known state while the store is unavailable."""
         async with open_bench(configuration(1), fleet()) as bench:
@@ -113,7 +113,7 @@
 class RunnerRegistrationTest(TestCase):
     """Runners that drain, restart or lose their registration."""
 
-    @virtual
+    @in_virtual_time
     async def test_drain(self) -> None:
         """Guards against requests to a runner that are sent later than 2 s after it began to drain."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
@@ -124,7 +124,7 @@
             last = max((run.started_at for run in bench.runners['i-web1'].runs), default=left_at)
             self.assertLess(last - left_at, MAX_DRAIN_LAG_S)
 
-    @virtual
+    @in_virtual_time
     async def test_restarted_before_record_expires(self) -> None:
         """Guards against repeated requests to an old incarnation whose record is still in the store.
 
@@ -139,7 +139,7 @@
                 self.assertEqual((await bench.new_caller('front-1').send(req)).body, req.expected_body)
             self.assertEqual(new.misdirected_count, 1)
 
-    @virtual
+    @in_virtual_time
     async def test_replaced_runner_announced_to_peers(self) -> None:
         """Guards against a request from each instance to a runner that one of them knows to be replaced."""
         async with open_bench(configuration(), fleet(), fronts=3) as bench:
@@ -150,7 +150,7 @@
             misdirected = new.misdirected_count
         self.assertEqual(misdirected, 1)
 
-    @virtual
+    @in_virtual_time
     async def test_registration_lost(self) -> None:
         """A runner's record vanishes without a drain; the runner gets no request after two seconds."""
         async with open_bench(configuration(), [plain_runner(1)]) as bench:
@@ -160,7 +160,7 @@
             last = max(run.started_at for run in bench.runners['i-web1'].runs)
             self.assertLess(last - left_at, MAX_DRAIN_LAG_S)
 
-    @virtual
+    @in_virtual_time
     async def test_registrations_expire_briefly(self) -> None:
         """Guards against refused requests when all records expire in the store and are back a second later."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)]) as bench:
@@ -175,7 +175,7 @@
 class StopTest(TestCase):
     """Planned stops and starts of a front, without requests cut off."""
 
-    @virtual
+    @in_virtual_time
     async def test_stop_under_load(self) -> None:
         """Guards against requests that are cut off when a front stops under load.
 
@@ -195,7 +195,7 @@
                 self.assertFalse(front.ready())
             self.assertEqual({(seen.status, seen.complete) for seen in answers}, {(200, True)})
 
-    @virtual
+    @in_virtual_time
     async def test_stop_late_request_on_kept_connection(self) -> None:
         """Guards against a late request on a kept-alive connection that is cut off by the stop.
 
@@ -222,7 +222,7 @@
             self.assertEqual(len(runners[0].runs), 2)
             self.assertEqual((served.status, served.complete), (200, True))
 
-    @virtual
+    @in_virtual_time
     async def test_not_ready_before_configuration(self) -> None:
         """A front without a configuration holds a request, then refuses it with a retry-after time.
 
--- a/tests/front/test_lost_answers.py
+++ b/tests/front/test_lost_answers.py
@@ -19,7 +19,7 @@
 from sesamepoint_core.serving.loss_meter import HALF_LIFE_S, LossMeter
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import configuration, engine, new_prompt_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.caller import CallerAnswer, RequestSpec
@@ -98,7 +98,7 @@
 
 
 def unserved_share(answers: list[tuple[str, CallerAnswer]], path: str) -> float:
-    """Return the share of the requests of ``placement`` that got no complete answer."""
+    """Return the share of the requests of ``path`` that got no complete answer."""
     seen = [one for where, one in answers if where == path]
     return sum(one.status != STATUS_OK or not one.complete for one in seen) / len(seen)
 
@@ -106,7 +106,7 @@
 class LostAnswersTest(TestCase):
     """What callers get while engines lose answers."""
 
-    @virtual
+    @in_virtual_time
     async def test_lossy_engines_avoided(self) -> None:
         """Guards against instances that keep sending to engines that lose answers.
 
@@ -120,7 +120,7 @@
         self.assertGreater(unserved_share(unmetered, '/verdict/a'), 0.05)
         self.assertLess(unserved_share(metered, '/verdict/a'), unserved_share(unmetered, '/verdict/a') / 3)
 
-    @virtual
+    @in_virtual_time
     async def test_lost_answers_retried(self) -> None:
         """Guards against resumable requests that are not retried at another engine.
 
@@ -131,7 +131,7 @@
             answers = await run_losses(3)
         self.assertLess(unserved_share(answers, '/tag/a'), 0.6 * unserved_share(answers, '/verdict/a'))
 
-    @virtual
+    @in_virtual_time
     async def test_failed_remote_prefills_retried(self) -> None:
         """Guards against late answers because failed remote prefills are not retried at prefill engines.
 
--- a/tests/front/test_peer_membership.py
+++ b/tests/front/test_peer_membership.py
@@ -9,7 +9,7 @@
 from sesamepoint.front.membership import FAILURE_TIMEOUT_S, HEARTBEAT_S, Membership
 from sesamepoint_standins.platform.bench import PlatformBench, open_bench
 from tests.front.builders import configuration, fleet
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 FRONTS = 5
 # Time until the other instances know of a changed record, by polling the store or by an update.
@@ -89,7 +89,7 @@
 class InstanceCountTest(TestCase):
     """The number of instances that share the retry budget and get messages."""
 
-    @virtual
+    @in_virtual_time
     async def test_stop_removes_record(self) -> None:
         """A planned stop removes the front's record, and the others take over its share of the budget."""
         async with open_bench(configuration(), fleet(), fronts=FRONTS) as bench:
@@ -100,7 +100,7 @@
             await trio.sleep(RECORD_UPDATE_S)
             self.assertEqual(instance_counts(bench, 'front-2'), {FRONTS - 1})
 
-    @virtual
+    @in_virtual_time
     async def test_killed_is_dropped(self) -> None:
         """Guards against the record of a killed front that stays forever.
 
@@ -116,7 +116,7 @@
             await trio.sleep(FAILURE_DETECTION_S)
             self.assertEqual(instance_counts(bench, 'front-2'), {FRONTS - 1})
 
-    @virtual
+    @in_virtual_time
     async def test_restarted_stays(self) -> None:
         """Guards against dropping a front that is killed and restarts within seconds."""
         async with open_bench(configuration(), fleet(), fronts=FRONTS) as bench:
@@ -128,7 +128,7 @@
                 await trio.sleep(1)
                 self.assertEqual(instance_counts(bench, 'front-2'), {FRONTS})
 
-    @virtual
+    @in_virtual_time
     async def test_isolated_from_peers(self) -> None:
         """Guards against an isolated front that drops the records of all its peers.
 
@@ -147,7 +147,7 @@
             await trio.sleep(RECORD_UPDATE_S)
             self.assertEqual(instance_counts(bench), {FRONTS})
 
-    @virtual
+    @in_virtual_time
     async def test_idle_instances_stay(self) -> None:
         """Guards against idle instances that are declared dead because there are no messages but heartbeats."""
         async with open_bench(configuration(), fleet(), fronts=FRONTS) as bench:
--- a/tests/front/test_rate_limits.py
+++ b/tests/front/test_rate_limits.py
@@ -34,7 +34,7 @@
     short_prompt,
     used_share,
 )
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.bench import PlatformBench
@@ -82,21 +82,21 @@
 class RateLimitTest(TestCase):
     """The rate at which all instances together send to runners with a limit."""
 
-    @virtual
+    @in_virtual_time
     async def test_two_of_four_engines_limited(self) -> None:
         """Guards against engines that receive more than their reported limit."""
         async with open_bench(configuration(), [*engines(2, 2), plain_runner(1)], fronts=FRONTS) as bench:
             most_received = await max_with_first_answers(bench, Load(short_prompt, 90, 10))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_two_of_four_plain_runners_limited(self) -> None:
         """Guards against plain runners that receive more than their reported limit."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
             most_received = await max_with_first_answers(bench, Load(plain_request, 90, 10))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_prefill_engines_limited(self) -> None:
         """Guards against remote prefills and decode steps that ignore the limit."""
         runners = engines(2, 2)
@@ -105,7 +105,7 @@
             most_received = await max_with_first_answers(bench, Load(remote_prefill_prompt, 40, DURATION_S))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_retries_to_runners_with_limits(self) -> None:
         """Guards against retries that ignore the limit."""
         runners = plain_runners(2, 2)
@@ -115,7 +115,7 @@
             most_received = await max_with_first_answers(bench, Load(plain_request, 60, DURATION_S))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_limit_falls_under_load(self) -> None:
         """Guards against requests that were queued or admitted before the limit fell and are sent afterwards."""
         async with open_bench(configuration(), plain_runners(4), fronts=FRONTS) as bench:
@@ -129,7 +129,7 @@
             found = max_in_span(bench, fell_at + LIMIT_KNOWN_S + 1)
         self.assertLessEqual(found, max_requests(2))
 
-    @virtual
+    @in_virtual_time
     async def test_instance_started_later(self) -> None:
         """Guards against a new instance that sends without a limit until it knows one."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -141,7 +141,7 @@
             most_received = max_in_span(bench, began + LIMIT_KNOWN_S)
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_all_instances_replaced(self) -> None:
         """Guards against a burst when all instances were killed and their successors know no limit."""
         async with open_bench(configuration(), plain_runners(4), fronts=FRONTS) as bench:
@@ -157,7 +157,7 @@
             most_received = max_in_span(bench, began + LIMIT_KNOWN_S)
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_instance_isolated_from_peers(self) -> None:
         """Guards against an instance that uses the whole limit while it is isolated from its peers."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -172,7 +172,7 @@
             most_received = max_in_span(bench, began + LIMIT_KNOWN_S)
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_datagrams_lost(self) -> None:
         """Guards against exceeding the limit when all datagrams between instances are lost."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -184,7 +184,7 @@
 class LimitUseTest(TestCase):
     """How much of a limit is used, and by which requests."""
 
-    @virtual
+    @in_virtual_time
     async def test_all_plain_runners_limited(self) -> None:
         """Guards against an unused limit, and against long waits before a refusal, when all runners have one."""
         async with open_bench(configuration(), plain_runners(4), fronts=FRONTS) as bench:
@@ -199,7 +199,7 @@
         self.assertLess(max(one.took_s for one in refused), MAX_REFUSAL_S)
         self.assertTrue(all(one.retry_after_s for one in refused))
 
-    @virtual
+    @in_virtual_time
     async def test_all_engines_limited(self) -> None:
         """Guards against an unused limit of engines while callers are refused."""
         async with open_bench(configuration(), engines(4), fronts=FRONTS) as bench:
@@ -208,7 +208,7 @@
             limit_use = used_share(bench, began + LIMIT_KNOWN_S, began + DURATION_S)
         self.assertGreaterEqual(limit_use, MIN_USED_SHARE)
 
-    @virtual
+    @in_virtual_time
     async def test_large_prompts_prefilled_remotely(self) -> None:
         """Guards against small prompts that use up the limit of prefill engines before large prompts."""
         runners = engines(0, 4)
@@ -222,7 +222,7 @@
             )
         self.assertGreaterEqual(in_time_share, MIN_SHARE)
 
-    @virtual
+    @in_virtual_time
     async def test_all_callers_at_one_instance(self) -> None:
         """Guards against shares of the limit that stay at instances without callers."""
         async with open_bench(configuration(), plain_runners(4), fronts=FRONTS) as bench:
@@ -231,7 +231,7 @@
             limit_use = used_share(bench, began + LIMIT_KNOWN_S, began + DURATION_S)
         self.assertGreaterEqual(limit_use, MIN_USED_SHARE)
 
-    @virtual
+    @in_virtual_time
     async def test_unlimited_runners_take_over(self) -> None:
         """Guards against refusals while runners without a limit have capacity."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -239,7 +239,7 @@
         self.assertEqual({one.status for one in answers}, {STATUS_OK})
         self.assertLess(max(one.took_s for one in answers), 0.2)
 
-    @virtual
+    @in_virtual_time
     async def test_urgent_requests_go_first(self) -> None:
         """Guards against permits in order of arrival instead of priority."""
         base = configuration()
@@ -254,7 +254,7 @@
             sum(base_route.status == STATUS_OK for base_route in answers), MIN_USED_SHARE * len(answers)
         )
 
-    @virtual
+    @in_virtual_time
     async def test_limit_ends(self) -> None:
         """Guards against a runner that is excluded or overloaded once its limit has ended."""
         async with open_bench(configuration(), plain_runners(1, 3), fronts=FRONTS) as bench:
@@ -268,7 +268,7 @@
         self.assertLess(in_first_second, MAX_FACTOR_AFTER_END * float(LIMIT))
         self.assertGreater(in_last_second, 20)
 
-    @virtual
+    @in_virtual_time
     async def test_restarted_without_limit(self) -> None:
         """Guards against a limit that outlives the incarnation which reported it."""
         async with open_bench(configuration(), plain_runners(4), fronts=FRONTS) as bench:
@@ -285,14 +285,14 @@
 class MalformedLimitTest(TestCase):
     """Limits that are malformed, extreme or change all the time."""
 
-    @virtual
+    @in_virtual_time
     async def test_malformed_first_limit(self) -> None:
         """Guards against instances that crash on a malformed limit."""
         for text in MALFORMED_LIMITS:
             with self.subTest(text=text):
                 await self._check_served_without_limit((text,))
 
-    @virtual
+    @in_virtual_time
     async def test_last_valid_limit_kept(self) -> None:
         """Guards against a valid limit that is dropped when a malformed one follows."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -304,7 +304,7 @@
             most_received = max_in_span(bench, began + LIMIT_KNOWN_S)
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_several_limits_in_one_answer(self) -> None:
         """Guards against an exceeded limit when one answer holds several, of which one is malformed."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -313,7 +313,7 @@
             most_received = await max_with_first_answers(bench, Load(plain_request, 60, DURATION_S))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_limit_in_failed_answers(self) -> None:
         """Guards against ignoring a limit that only failed answers report."""
         runners = plain_runners(2, 2)
@@ -323,7 +323,7 @@
             most_received = await max_with_first_answers(bench, Load(plain_request, 60, DURATION_S))
         self.assertLessEqual(most_received, max_requests(float(LIMIT)))
 
-    @virtual
+    @in_virtual_time
     async def test_different_limit_in_each_answer(self) -> None:
         """Guards against crashes, or floods of datagrams, when the limit changes with each answer."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
@@ -341,7 +341,7 @@
         self.assertEqual(msgspec.msgpack.decode(encoded, type=Rank), rank)
         self.assertLess(rank, IDLE_RANK)
 
-    @virtual
+    @in_virtual_time
     async def test_zero_limit(self) -> None:
         """Guards against requests to a runner whose limit is 0, and against callers that wait for it."""
         async with open_bench(configuration(), plain_runners(2, 2), fronts=FRONTS) as bench:
--- a/tests/front/test_requests_beside_poison.py
+++ b/tests/front/test_requests_beside_poison.py
@@ -28,7 +28,7 @@
     ask_same_request,
     engines_ending_on_poison,
 )
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint_standins.platform.caller import CallerAnswer
@@ -43,7 +43,7 @@
 class RequestsBesidePoisonTest(TestCase):
     """Healthy requests that were in progress at a runner when it ended."""
 
-    @virtual
+    @in_virtual_time
     async def test_healthy_requests_retried(self) -> None:
         """Guards against healthy requests that are refused because they ran beside a poison request.
 
@@ -59,7 +59,7 @@
                     self.assertGreaterEqual(len(bench.crashes), ENDS_UNTIL_DETECTION)
                     self.assertEqual([seen for seen in answers if seen.status != STATUS_OK or not seen.complete], [])
 
-    @virtual
+    @in_virtual_time
     async def test_faulty_variant_probes_together(self) -> None:
         """Without exclusive probes, a healthy request at the same runner is taken for the poison request."""
         answers: list[CallerAnswer] = []
@@ -75,7 +75,7 @@
                 await ask_mixed(bench, Random(1), answers, nursery)
         self.assertNotEqual([seen for seen in answers if seen.status != STATUS_OK], [])
 
-    @virtual
+    @in_virtual_time
     async def test_popular_request_while_runners_end(self) -> None:
         """Guards against a popular request that is quarantined because three runners ended at once by their own fault.
 
@@ -92,7 +92,7 @@
             seen = await ask_concurrently(bench, [*bench.fronts, *bench.fronts], new_request('/thumb/often'))
             self.assertEqual({one.status for one in seen}, {STATUS_OK})
 
-    @virtual
+    @in_virtual_time
     async def test_answers_lost_by_live_runners(self) -> None:
         """Guards against requests that become suspect when a runner resets connections but stays up."""
         runners = [plain_runner(number) for number in range(1, 4)]
@@ -107,7 +107,7 @@
             self.assertEqual(seen.status, STATUS_OK)
             self.assertAlmostEqual(seen.took_s, runners[0].work_s, delta=ROUND_TRIP_S)
 
-    @virtual
+    @in_virtual_time
     async def test_retry_while_connections_hang(self) -> None:
         """Guards against requests that wait in turn for a probe connection each.
 
@@ -128,7 +128,7 @@
             self.assertEqual({seen.status for seen in answers}, {STATUS_OK})
             self.assertLess(max(seen.took_s for seen in answers), MAX_ANSWER_S)
 
-    @virtual
+    @in_virtual_time
     async def test_draining_runners_end(self) -> None:
         """Guards against requests that become suspect when draining runners end with requests in progress.
 
--- a/tests/front/test_restarted_runners.py
+++ b/tests/front/test_restarted_runners.py
@@ -14,7 +14,7 @@
 from sesamepoint.http1.transport import SocketNetwork
 from sesamepoint_standins.platform.bench import open_bench
 from tests.front.builders import configuration, engine, new_prompt_request, permissive_send_check, registered_engine
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 EARLIER_MS = 1_700_000_000_000
 LATER_MS = EARLIER_MS + 5000
@@ -23,7 +23,7 @@
 
 
 def fleet_with(*runners: Runner) -> Fleet:
-    """Return a fleet with registrations of ``all_runners``."""
+    """Return a fleet with registrations of ``runners``."""
     fleet = Fleet(DRAIN_S, SocketNetwork(), trio.current_time, permissive_send_check())
     for runner in runners:
         fleet.update(runner)
@@ -39,7 +39,7 @@
 class UpdateOrderTest(TestCase):
     """A runner's registration and updates of peers, in each order."""
 
-    @virtual
+    @in_virtual_time
     async def test_registration_first(self) -> None:
         """The registration of the new incarnation arrives before a peer's update on the old one.
 
@@ -60,7 +60,7 @@
         self.assertEqual(member.load.wait_s(trio.current_time()), 0)
         self.assertTrue(member.health.eligible(trio.current_time()))
 
-    @virtual
+    @in_virtual_time
     async def test_peer_update_first(self) -> None:
         """A peer's update names the new incarnation before this instance reads its registration.
 
@@ -78,7 +78,7 @@
         self.assertEqual(member.cache.cached_tokens(BLOCKS), 9000)
         self.assertEqual(member.load.streams(trio.current_time()), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_end_of_earlier_send(self) -> None:
         """A send to the old incarnation ends after the restart, and its serial matches a send to the new one."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER_MS))
@@ -91,7 +91,7 @@
         tracker.end(end._replace(finished=True))
         self.assertEqual(fleet.members['i-1'].load.streams(trio.current_time()), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_stale_record_after_removal(self) -> None:
         """A lagging store delivers a registration of an old incarnation after the runner was removed."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER_MS), registered_engine(born_ms=LATER_MS))
@@ -101,7 +101,7 @@
         fleet.update(registered_engine(born_ms=EARLIER_MS))
         self.assertEqual(fleet.of_service('llm'), [])
 
-    @virtual
+    @in_virtual_time
     async def test_incarnation_missing(self) -> None:
         """A record without an incarnation replaces that of a runner with one, so another writer has written it."""
         fleet = fleet_with(registered_engine(born_ms=LATER_MS))
@@ -111,7 +111,7 @@
         fleet.update(registered_engine(born_ms=LATER_MS))
         self.assertEqual(len(fleet.of_service('llm')), 1)
 
-    @virtual
+    @in_virtual_time
     async def test_draining_ends_at_restart(self) -> None:
         """A draining runner restarts before its registration expires, and is used again."""
         fleet = fleet_with(registered_engine(born_ms=EARLIER_MS, draining=True))
@@ -124,7 +124,7 @@
 class RestartedEngineTest(TestCase):
     """A whole front with engines that restart."""
 
-    @virtual
+    @in_virtual_time
     async def test_inventory_requested_again(self) -> None:
         """An engine restarts before its registration expires.
 
@@ -140,7 +140,7 @@
             self.assertTrue((await bench.new_caller('front-1').send(new_prompt_request('/verdict/a'))).complete)
             self.assertEqual(bench.fronts['front-1'].fleet.members['i-llm1'].runner.born_ms, LATER_MS)
 
-    @virtual
+    @in_virtual_time
     async def test_inventory_names_new_incarnation(self) -> None:
         """The inventory answer of an engine names an incarnation that is not registered yet."""
         runners = [engine(1, 'prefill', born_ms=EARLIER_MS), engine(2, 'decode', born_ms=EARLIER_MS)]
@@ -152,7 +152,7 @@
             members = bench.fronts['front-1'].fleet.members
             self.assertEqual({member.runner.born_ms for member in members.values()}, {LATER_MS})
 
-    @virtual
+    @in_virtual_time
     async def test_inventory_names_invalid_incarnation(self) -> None:
         """An inventory answer that names an impossible incarnation is ignored.
 
--- a/tests/front/test_retry_after.py
+++ b/tests/front/test_retry_after.py
@@ -10,7 +10,7 @@
 
 from sesamepoint_standins.platform.bench import PlatformBench
 from tests.front.builders import configuration, fleet, new_prompt_request, new_request
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 class RestartTest(TestCase):
     """All instances restart, and are up before the list of runners is available."""
 
-    @virtual
+    @in_virtual_time
     async def test_restart_without_runners(self) -> None:
         """A caller that retries once is served, although the front knows no runner at first.
 
@@ -40,7 +40,7 @@
             second = await bench.new_caller('front-1').send(new_prompt_request('/tag/a', deadline_s=5.0))
             self.assertEqual((second.status, second.complete), (200, True))
 
-    @virtual
+    @in_virtual_time
     async def test_restart_with_short_deadline(self) -> None:
         """A request with a deadline of 1 s can't be served, and is refused after a third of that."""
         async with bench_without_runners(RUNNERS_MISSING_S) as bench:
@@ -49,7 +49,7 @@
             self.assertLess(answer.took_s, 0.35)
             self.assertAlmostEqual(answer.retry_after_s or 0, 0.22, places=2)
 
-    @virtual
+    @in_virtual_time
     async def test_runners_back_soon(self) -> None:
         """The list of runners arrives while a request waits whose caller can't retry: it is served."""
         async with bench_without_runners(0.4) as bench:
--- a/tests/front/test_send_check.py
+++ b/tests/front/test_send_check.py
@@ -14,7 +14,7 @@
 from sesamepoint.front.send_check import BLOCK_CONDITIONS, SendCheck, SendKind
 from tests.front.send_check_bench import BLOCK_TRIGGERS, SEND_CALLS, new_bench
 from tests.front.silent_network import CONNECT_DELAY_S
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from sesamepoint.front.send_check import PendingSend
@@ -44,7 +44,7 @@
         }
         self.assertEqual(modules, {POOL_MODULE, *NON_RUNNER_CLIENTS})
 
-    @virtual
+    @in_virtual_time
     async def test_not_blocked(self) -> None:
         """Guards against a test bench on which every send is blocked."""
         for kind, send in SEND_CALLS.items():
@@ -53,7 +53,7 @@
                 await send(bench)
                 self.assertNotEqual(bench.network.transport.sent, b'')
 
-    @virtual
+    @in_virtual_time
     async def test_blocked_while_connecting(self) -> None:
         """Guards against sends to a runner whose status has changed since it was chosen."""
         for kind, send in SEND_CALLS.items():
@@ -62,7 +62,7 @@
                     concerned = condition not in REQUEST_CONDITIONS or kind not in MAINTENANCE_CALLS
                     self.assertEqual(await _bytes_sent(send, trigger) == b'', concerned)
 
-    @virtual
+    @in_virtual_time
     async def test_faulty_variant_checks_at_choice_only(self) -> None:
         """Without the last check, a send goes out although its runner has begun to drain since the choice."""
         with patch.object(SendCheck, 'blocked_by', _never_blocked):
--- a/tests/front/test_shared_polling.py
+++ b/tests/front/test_shared_polling.py
@@ -17,7 +17,7 @@
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.front.builders import configuration, engine, fleet, new_request, plain_runner
 from tests.front.topic_simulation import ANSWER_S, PACING, TopicSimulation
-from tests.virtual import virtual
+from tests.virtual_time import in_virtual_time
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -58,7 +58,7 @@
 class StoreCallsTest(TestCase):
     """The number of store calls does not grow with the number of instances."""
 
-    @virtual
+    @in_virtual_time
     async def test_calls_independent_of_instances(self) -> None:
         """5 and 68 instances make about as many calls; 68 that poll each for itself made over 100 a second."""
         calls_per_s = []
@@ -71,7 +71,7 @@
         self.assertLess(calls_per_s[0], 4)
         self.assertLess(calls_per_s[1], 6)
 
-    @virtual
+    @in_virtual_time
     async def test_self_checks_not_broadcast(self) -> None:
         """An instance that checks the store itself once a minute does not become the poller.
 
@@ -84,7 +84,7 @@
             polls_per_s = (simulation.datagrams_sent - before) / (INSTANCES - 1) / (2 * SELF_CHECK_S)
             self.assertLess(polls_per_s, 1.1 / (PACING.pause_s + ANSWER_S))
 
-    @virtual
+    @in_virtual_time
     async def test_poller_changes(self) -> None:
         """Polling turns rotate: at least four of ten instances have one within five minutes."""
         async with running_simulation(TopicSimulation(10)) as simulation:
@@ -96,7 +96,7 @@
                 }
             self.assertGreater(len(pollers), 3)
 
-    @virtual
+    @in_virtual_time
     async def test_calls_of_five_fronts(self) -> None:
         """Five fronts make no more calls than two did that polled each for itself."""
         async with open_bench(configuration(), fleet(), fronts=5) as bench:
@@ -109,7 +109,7 @@
 class PollingFailureTest(TestCase):
     """Failed pollers, unreachable instances, and a store that refuses some instances."""
 
-    @virtual
+    @in_virtual_time
     async def test_poller_killed(self) -> None:
         """The poller is killed during its turn.
 
@@ -126,7 +126,7 @@
                 await trio.sleep(MAX_LAG_S)
                 self.assertTrue(all_reached(simulation, offset))
 
-    @virtual
+    @in_virtual_time
     async def test_unreachable_instance(self) -> None:
         """An instance that receives no datagrams polls for itself, and stays within the bound."""
         async with running_simulation(TopicSimulation(INSTANCES)) as simulation:
@@ -136,7 +136,7 @@
                 await trio.sleep(MAX_LAG_S)
                 self.assertTrue(all_reached(simulation, offset))
 
-    @virtual
+    @in_virtual_time
     async def test_store_refuses_one_instance(self) -> None:
         """The store refuses one instance, which stays within the bound through updates of its peers."""
         async with running_simulation(TopicSimulation(INSTANCES)) as simulation:
@@ -147,7 +147,7 @@
                 await trio.sleep(MAX_LAG_S)
                 self.assertTrue(all_reached(simulation, offset))
 
-    @virtual
+    @in_virtual_time
     async def test_update_exceeds_datagram(self) -> None:
         """Forty engines register at once: the update does not fit a datagram, so all instances poll within 1 s."""
         async with open_bench(configuration(), fleet(), fronts=3) as bench:
@@ -158,7 +158,7 @@
             sizes = {len(front.fleet.members) for front in bench.fronts.values()}
             self.assertEqual(sizes, {45})
 
-    @virtual
+    @in_virtual_time
     async def test_draining_while_store_refuses_one_front(self) -> None:
         """A front that the store refuses learns from its peer that a runner is draining."""
         async with open_bench(configuration(), [plain_runner(1), plain_runner(2)], fronts=2) as bench:
@@ -176,7 +176,7 @@
 class ForgedUpdateTest(TestCase):
     """Updates that no instance has sent."""
 
-    @virtual
+    @in_virtual_time
     async def test_unregistered_sender_ignored(self) -> None:
         """Updates of a sender that is no registered instance are ignored."""
         async with open_bench(configuration(), fleet(), fronts=2) as bench:
@@ -186,7 +186,7 @@
             front.peers.handlers[TopicUpdate] = self.fail
             front.peers.on_datagram(_encode(forged))
 
-    @virtual
+    @in_virtual_time
     async def test_forged_offset_corrected(self) -> None:
         """A forged update in the name of an instance claims an offset beyond the end of the log.
 
--- a/tests/front/topic_simulation.py
+++ b/tests/front/topic_simulation.py
@@ -72,7 +72,7 @@
         return TopicRecords(records, len(log), self.epoch.newest)
 
     async def follow(self, _: str, start: int, wait_s: float) -> TopicRecords:
-        """Return the records after offset ``incarnation``; wait up to ``wait_s`` if there are none."""
+        """Return the records after offset ``start``; wait up to ``wait_s`` if there are none."""
         await self._answer()
         if len(self._store.log) <= start:
             await trio.sleep(wait_s)
--- a/tests/fuzz/machine.py
+++ b/tests/fuzz/machine.py
@@ -1,4 +1,4 @@
-"""The rule machine: it writes a program, then runs it in virtual time."""
+"""Hypothesis state machine that collects a program of steps and runs it in virtual time."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from sesamepoint_standins.deployment_bench import DeploymentBench
 from sesamepoint_standins.virtual_time import run_virtual
 from tests.builders import configuration
-from tests.fuzz.oracle import broken_promises
-from tests.fuzz.world import SIZE, STEPS, World, heal
+from tests.fuzz.oracle import find_violations
+from tests.fuzz.simulation import SIZE, STEPS, Simulation, remove_faults
 
-START_S = 15.0
+STARTUP_S = 15.0
 NUMBERS = st.integers(0, 59)
 FAULTS = st.sampled_from([name for name in STEPS if not name.startswith('send') and name != 'wait'])
 
@@ -67,20 +67,20 @@
 
 
 def run_program(program: tuple[tuple[str, int], ...], seed: int) -> list[str]:
-    """Run a program and return what it broke."""
+    """Run a program and return the violated guarantees, one line each."""
     return run_virtual(_run, program, seed, seed=seed)
 
 
 async def _run(program: tuple[tuple[str, int], ...], seed: int) -> list[str]:
     async with DeploymentBench.open(configuration(size=SIZE), seed) as bed:
-        await trio.sleep(START_S)
+        await trio.sleep(STARTUP_S)
         async with trio.open_nursery() as nursery:
-            world = World(bed, nursery)
+            world = Simulation(bed, nursery)
             for name, number in program:
                 await STEPS.get(name)(world, number)
-            await heal(world)
+            await remove_faults(world)
             nursery.cancel_scope.cancel()
-        return broken_promises(world)
+        return find_violations(world)
 
 
 __all__ = ('Machine', 'run_program')
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""What must hold, by what callers, upstreams and operators can see."""
+"""Checks of the guarantees, from what callers, engines and operators can observe."""
 
 from __future__ import annotations
 
@@ -7,48 +7,53 @@
 
 from sesamepoint_core.answer.outcome import Answered, NotRun
 from sesamepoint_standins.engine_model import answer_seed
-from tests.virtual import expected_text
+from tests.virtual_time import expected_text
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from tests.fuzz.world import World
+    from tests.fuzz.simulation import Simulation
 
-SLACK_S = 5.0
+DEADLINE_SLACK_S = 5.0
 
 
-def broken_promises(world: World) -> list[str]:
-    """Return a line for each promise that was broken."""
-    return [*_answers(world), *_runs(world), *_engines(world), *_configuration(world)]
+def find_violations(simulation: Simulation) -> list[str]:
+    """Return a line for each violated guarantee."""
+    return [
+        *_check_answers(simulation),
+        *_check_runs(simulation),
+        *_check_engines(simulation),
+        *_check_configuration(simulation),
+    ]
 
 
-def _answers(world: World) -> Iterator[str]:
-    for sent in world.sent:
-        if sent.seen is None:
+def _check_answers(simulation: Simulation) -> Iterator[str]:
+    for sent in simulation.sent:
+        if sent.record is None:
             yield 'whole answer: a caller still waits'
             continue
-        if isinstance(sent.seen.outcome, Answered) and sent.seen.text != expected_text(sent.req):
+        if isinstance(sent.record.outcome, Answered) and sent.record.text != expected_text(sent.req):
             yield 'whole answer: a caller got something else'
-        if sent.seen.took_s > sent.req.timeout_s + SLACK_S:
-            yield f'final answer at once: it came after {sent.seen.took_s:.1f} s'
+        if sent.record.took_s > sent.req.timeout_s + DEADLINE_SLACK_S:
+            yield f'final answer at once: it came after {sent.record.took_s:.1f} s'
 
 
-def _runs(world: World) -> Iterator[str]:
+def _check_runs(simulation: Simulation) -> Iterator[str]:
     runs: Counter[int] = Counter()
-    for engine in world.bed.engines.values():
+    for engine in simulation.bed.engines.values():
         runs.update(engine.run_counts_by_seed)
     outcomes = defaultdict(set)
-    for sent in world.sent:
+    for sent in simulation.sent:
         seed = answer_seed(sent.req.job.body)
-        outcomes[seed].add(sent.seen.outcome.tag if sent.seen else 'waits')
+        outcomes[seed].add(sent.record.outcome.tag if sent.record else 'waits')
         if runs[seed] > 1 and not sent.req.repeatable:
             yield f'at most once: it ran {runs[seed]} times'
-    lied = [seed for seed, tags in outcomes.items() if tags == {NotRun.tag} and runs[seed]]
-    yield from ('not run is true: it ran' for _ in lied)
+    misreported = [seed for seed, tags in outcomes.items() if tags == {NotRun.tag} and runs[seed]]
+    yield from ('not run is true: it ran' for _ in misreported)
 
 
-def _engines(world: World) -> Iterator[str]:
-    for name, engine in world.bed.engines.items():
+def _check_engines(simulation: Simulation) -> Iterator[str]:
+    for name, engine in simulation.bed.engines.items():
         if engine.dropped_by_order:
             yield f'no planned change cuts off: {name} dropped {engine.dropped_by_order}'
         fences = [fence for _, fence in engine.orders]
@@ -56,14 +61,14 @@
             yield f'lost authority: {name} got orders under {fences}'
 
 
-def _configuration(world: World) -> Iterator[str]:
-    versions = {name: started.entry.follower.state.version for name, started in world.bed.entries.items()}
+def _check_configuration(simulation: Simulation) -> Iterator[str]:
+    versions = {name: started.entry.follower.state.version for name, started in simulation.bed.entries.items()}
     if len(set(versions.values())) > 1:
         yield f'in force everywhere: {versions}'
-    if world.accepted != sorted(set(world.accepted)):
-        yield f'never reverts: accepted {world.accepted}'
-    if world.accepted and max(world.accepted) > max(versions.values()):
-        yield f'never reverts: accepted {world.accepted}, in force {versions}'
+    if simulation.accepted_versions != sorted(set(simulation.accepted_versions)):
+        yield f'never reverts: accepted {simulation.accepted_versions}'
+    if simulation.accepted_versions and max(simulation.accepted_versions) > max(versions.values()):
+        yield f'never reverts: accepted {simulation.accepted_versions}, in force {versions}'
 
 
-__all__ = ('broken_promises',)
+__all__ = ('find_violations',)
--- a/tests/runtime/test_log_output.py
+++ b/tests/runtime/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines that must never hold the process up."""
+"""Tests of log output, which must never block the process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class NonBlockingOutputTest(TestCase):
-    """A pipe whose reader hangs."""
+    """Output to a pipe that nobody reads."""
 
-    def test_full_pipe(self) -> None:
-        """Whoever reads the logs hangs, and the pipe fills up.
+    def test_full_pipe_drops_lines(self) -> None:
+        """The reader of the logs hangs and the pipe fills up.
 
-        A blocking write would stop every request of the process. Lines are
-        dropped and counted, and written again once there is room.
+        A blocking write would stop every request of the process. Lines must be
+        dropped and counted, and written again once the pipe has room.
         """
         reading, writing = os.pipe()
         output = NonBlockingOutput(writing)
@@ -32,7 +32,7 @@
         os.close(reading)
         os.close(writing)
 
-    def test_reader_gone(self) -> None:
+    def test_closed_pipe_drops_lines(self) -> None:
         reading, writing = os.pipe()
         output = NonBlockingOutput(writing)
         os.close(reading)
@@ -42,16 +42,16 @@
 
 
 class RateLimitTest(TestCase):
-    """More decisions than lines."""
+    """The limit on log lines during a burst."""
 
-    def test_burst_bounded(self) -> None:
+    def test_burst_is_limited(self) -> None:
         limit = LogRateLimit()
         passed = sum(limit.filter(_record(logging.INFO)) for _ in range(5 * int(BURST_LINES)))
         self.assertLess(passed, 2 * BURST_LINES)
         self.assertGreater(limit.suppressed, 0)
 
     def test_warnings_pass(self) -> None:
-        """A warning passes in any burst, and tells how many lines were left out."""
+        """A warning passes during a burst, with the number of suppressed lines."""
         limit = LogRateLimit()
         for _ in range(5 * int(BURST_LINES)):
             limit.filter(_record(logging.INFO))
--- a/tests/standins/test_virtual_time.py
+++ b/tests/standins/test_virtual_time.py
@@ -4,8 +4,8 @@
 
 from unittest import TestCase
 
-from sesamectl.commands.experiment import trial_of
-from sesamectl.experiment.run import run_trial
+from sesamectl.commands.experiment import build_trial
+from sesamectl.experiment.trial import run_trial
 
 
 class DeterminismTest(TestCase):
@@ -15,7 +15,7 @@
         # Guards against two runs of one experiment that differ in a few answers,
         # because trio shuffles tasks that are ready at the same time with a random
         # generator that was not seeded.
-        trial = trial_of('himal', 'swing-2min', 'default', 3)
+        trial = build_trial('himal', 'swing-2min', 'default', 3)
         trial.scenario['duration_s'] = 60.0
         first, second = (run_trial(trial) for _ in range(2))
         self.assertEqual(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Passing over known failures, and over nothing else."""
+"""Tests of the plugin that marks known failures as expected."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from tests import known_red
 
 
-def outcome_of(listed: str, failed: str, outcome: str = 'failed') -> bool:
-    """Tell whether the failure of a test is expected, with another one listed."""
-    event = SimpleNamespace(outcome=outcome, expected=False, test=SimpleNamespace(id=lambda: failed))
+def failure_is_expected(listed: str, test_id: str, outcome: str = 'failed') -> bool:
+    """Tell whether the plugin marks the outcome of one test as expected when ``listed`` is on the list."""
+    event = SimpleNamespace(outcome=outcome, expected=False, test=SimpleNamespace(id=lambda: test_id))
     with patch.object(known_red, 'listed', lambda: (listed,)):
         known_red.KnownRed().setTestOutcome(event)
     return bool(event.expected)
 
 
 class KnownRedTest(TestCase):
-    """The plugin of the test runner."""
+    """Only failures of listed tests are expected."""
 
-    def test_listed(self) -> None:
-        self.assertTrue(outcome_of('tests.a.T.test_x', 'tests.a.T.test_x'))
+    def test_listed_failure_expected(self) -> None:
+        self.assertTrue(failure_is_expected('tests.a.T.test_x', 'tests.a.T.test_x'))
 
-    def test_not_listed(self) -> None:
-        self.assertFalse(outcome_of('tests.a.T.test_x', 'tests.a.T.test_xy'))
+    def test_other_failure_not_expected(self) -> None:
+        self.assertFalse(failure_is_expected('tests.a.T.test_x', 'tests.a.T.test_xy'))
 
-    def test_no_more_than_three(self) -> None:
+    def test_fourth_entry_rejected(self) -> None:
         with patch.object(known_red, 'listed', lambda: ('a', 'b', 'c', 'd')), self.assertRaises(ValueError):
             known_red.KnownRed()
