--- a/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/model.py
@@ -59,9 +59,9 @@
 class FleetConfig(TypedDict):
     """A set of interchangeable runners.
 
-    ``roles`` is what a runner starts as; ``floors`` is how many of a role
-    must stay; ``models`` are the names that callers ask for; ``engine`` is
-    present for fleets of engines.
+    ``roles`` are the roles that runners start in. ``floors`` is the least
+    number of runners of each role. ``models`` are the names that callers
+    request. ``engine`` is required for fleets of engines.
     """
 
     kind: FleetKind
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/demand.py
@@ -99,8 +99,8 @@
         self._updated_at = now
 
     def read(self, now: float, horizon_s: float) -> Demand:
-        """Return the demand per second as of ``now``."""
-        return self._rate.times(math.exp((self._at - now) / horizon_s))
+        """Return the demand per second at time ``now``, in seconds."""
+        return self._rate.times(math.exp((self._updated_at - now) / horizon_s))
 
 
 class DemandMeter:
@@ -117,10 +117,10 @@
         short.add(now, demand, horizon_s * SHORT_HORIZON_RATIO)
         long.add(now, demand, horizon_s)
 
-    def read(self, now: float, horizon_s: float) -> Offered:
-        """Return the demand per second as of ``now``."""
-        short_s = horizon_s * SHORT_SHARE
-        return Offered(
+    def read(self, now: float, horizon_s: float) -> OfferedDemand:
+        """Return the demand per second at time ``now``, in seconds."""
+        short_s = horizon_s * SHORT_HORIZON_RATIO
+        return OfferedDemand(
             self._main[0].read(now, short_s),
             self._main[1].read(now, horizon_s),
             self._small[0].read(now, short_s),
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/subset.py
@@ -15,8 +15,8 @@
 _HASH_COUNT = 1 << CRC_BITS
 
 
-def subset(entry: str, runners: Sequence[str]) -> tuple[str, ...]:
-    """Return the runners of one fleet that ``entry`` knows.
+def choose_subset(instance: str, runners: Sequence[str]) -> tuple[str, ...]:
+    """Return the runners of one fleet that the instance ``instance`` uses.
 
     Of a small fleet, all are used. Of a large one, an instance uses the few
     runners with the lowest hashes of both names (rendezvous hashing). Each
@@ -30,8 +30,8 @@
     return tuple(sorted(runners, key=lambda runner: zlib.crc32(f'{instance} {runner}'.encode()))[:SUBSET_SIZE])
 
 
-def is_known(entry: str, runner: str, fleet_size: int, known: int) -> bool:
-    """Tell whether ``entry`` knows ``runner``: all of a fleet of ``known``, else about so many.
+def in_subset(instance: str, runner: str, fleet_size: int, subset_size: int) -> bool:
+    """Tell whether the instance ``instance`` uses ``runner``.
 
     Of a fleet of up to ``subset_size`` runners, all are used; of a larger one, about
     ``subset_size``. Unlike :func:`choose_subset` this needs no list of the fleet, so each
