--- a/packages/sesamepoint-core/src/sesamepoint_core/answer/assembly.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/answer/assembly.py
@@ -33,7 +33,7 @@
             self.released += 1
         return in_order
 
-    def set_total(self, total: int) -> None:
+    def expect_total(self, total: int) -> None:
         """Set the number of chunks of the whole answer."""
         self._total = total
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/limit_owner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/limit_owner.py
@@ -21,13 +21,13 @@
     """One permit for an instance, and when the instance requested it, on its own clock."""
 
     instance: str
-    asked_at: float
+    requested_at: float
 
 
 class _Demand(NamedTuple):
     demand: Demand
     received_at: float
-    asked_at: float
+    requested_at: float
 
 
 class LimitOwner:
@@ -59,10 +59,10 @@
         for _ in range(min(request.unused, self._max_unused())):
             self._bucket.put_back(now)
 
-    def update_demand(self, instance: str, demand: Demand, asked_at: float, now: float) -> None:
+    def update_demand(self, instance: str, demand: Demand, requested_at: float, now: float) -> None:
         """Set the demand of an instance, in place of its earlier one."""
         if demand.permits:
-            self._demands[instance] = _Demand(demand, now, asked_at)
+            self._demands[instance] = _Demand(demand, now, requested_at)
         else:
             self._demands.pop(instance, None)
 
@@ -114,7 +114,7 @@
         remaining = pending.demand.permits - 1
         if remaining:
             self._demands[name] = pending._replace(demand=pending.demand._replace(permits=remaining))
-        return AllocatedPermit(name, pending.asked_at)
+        return AllocatedPermit(name, pending.requested_at)
 
     def _order(self, instance: str) -> tuple[object, float]:
         return self._demands[instance].demand.rank, self._allocated_at.get(instance, -math.inf)
--- a/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/shared_limit.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/runner_limit/shared_limit.py
@@ -167,7 +167,9 @@
                 self._demand = self._demand._replace(permits=self._demand.permits - 1)
             else:
                 self._outgoing.append(
-                    AddressedMessage(allocated.instance, self._grant(allocated.instance, 1, now, allocated.asked_at))
+                    AddressedMessage(
+                        allocated.instance, self._grant(allocated.instance, 1, now, allocated.requested_at)
+                    )
                 )
 
     def _announce(self, now: float) -> None:
@@ -197,9 +199,9 @@
             self._announced_at + RESEND_LEASE_SHARE * lease_s(len(self._members)) if self._share.is_owner else math.inf
         )
 
-    def _grant(self, instance: str, permits: int, now: float, asked_at: float = 0) -> PermitGrant:
+    def _grant(self, instance: str, permits: int, now: float, requested_at: float = 0) -> PermitGrant:
         return PermitGrant(
-            asked_at, self._owner.stamp(now), permits, self._owner.contenders(instance), self._limit_update(now)
+            requested_at, self._owner.stamp(now), permits, self._owner.contenders(instance), self._limit_update(now)
         )
 
     def _limit_update(self, now: float) -> LimitUpdate | None:
--- a/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/serving/placement.py
@@ -134,7 +134,7 @@
 
     Parameters
     ----------
-    reading
+    prefill_speed
         Prefill speed of prefill engines.
     transfer_tokens_s
         Tokens a second that are transferred between engines of one zone.
@@ -153,7 +153,7 @@
         one, in seconds of waiting.
     """
 
-    reading: PrefillSpeed
+    prefill_speed: PrefillSpeed
     transfer_tokens_s: float
     pause_s: float = 0
     plain_pause_s: float = 0
@@ -221,8 +221,8 @@
 
 
 def _whole_placement(view: EngineView, speeds: Speeds, prompt_tokens: int) -> Placement:
-    work_s = DECODE_SLOWDOWN * view.pace * speeds.reading.prefill_s(view.uncached_tokens, prompt_tokens)
-    first_s = speeds.reading.overhead_s + view.wait_s + work_s + _fetch_s(view, speeds)
+    work_s = DECODE_SLOWDOWN * view.pace * speeds.prefill_speed.prefill_s(view.uncached_tokens, prompt_tokens)
+    first_s = speeds.prefill_speed.overhead_s + view.wait_s + work_s + _fetch_s(view, speeds)
     earlier_s = max(view.wait_s, view.recent_prefill_s)
     # The prefill lengthens the pauses of all streams at this engine, and prefill work
     # sent earlier lengthens those of this request.
@@ -235,9 +235,9 @@
 
 
 def _split_placement(view: EngineView, decode_step: DecodeStep, speeds: Speeds, prompt_tokens: int) -> Placement:
-    work_s = view.pace * speeds.reading.prefill_s(view.uncached_tokens, prompt_tokens)
+    work_s = view.pace * speeds.prefill_speed.prefill_s(view.uncached_tokens, prompt_tokens)
     transfer_s = decode_step.transfer_s + _fetch_s(view, speeds)
-    first_s = speeds.reading.overhead_s + view.wait_s + work_s + transfer_s + DECODE_STEP_S
+    first_s = speeds.prefill_speed.overhead_s + view.wait_s + work_s + transfer_s + DECODE_STEP_S
     cost = (
         first_s
         + decode_step.cost
--- a/packages/sesamepoint/src/sesamepoint/entry/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/attempt.py
@@ -108,7 +108,7 @@
         if frame.load is not None:
             self._view.on_report(frame.load, trio.current_time())
         released = self._assembler.released
-        self._assembler.set_total(frame.number)
+        self._assembler.expect_total(frame.number)
         if frame.outcome is AttemptOutcome.answered and not self._assembler.complete:
             raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks received')
         return AttemptResult(frame.outcome, frame.code, released)
--- a/packages/sesamepoint/src/sesamepoint/front/decision_fields.py
+++ b/packages/sesamepoint/src/sesamepoint/front/decision_fields.py
@@ -25,8 +25,8 @@
         'fetch_tokens': plan.view.fetch_tokens,
         'rank': plan.rank,
         'streams': plan.view.streams,
-        'rate': round(prompt.tokens / plan.speeds.reading.prefill_s(prompt.tokens, prompt.tokens)),
-        'overhead_ms': whole_ms(plan.speeds.reading.overhead_s),
+        'rate': round(prompt.tokens / plan.speeds.prefill_speed.prefill_s(prompt.tokens, prompt.tokens)),
+        'overhead_ms': whole_ms(plan.speeds.prefill_speed.overhead_s),
         'plain_pause_ms': whole_ms(plan.speeds.plain_pause_s),
     }
 
--- a/packages/sesamepoint/src/sesamepoint/front/fleet.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet.py
@@ -33,7 +33,7 @@
 class Fleet:
     """Members by runner key, updated from their registrations."""
 
-    def __init__(self, drain_s: float, network: Network, now: Callable[[], float], gate: SendCheck) -> None:
+    def __init__(self, drain_s: float, network: Network, now: Callable[[], float], send_check: SendCheck) -> None:
         """Start without runners.
 
         Parameters
@@ -42,11 +42,11 @@
             Drain time in seconds; an unregistered runner is kept for a share of it.
         now
             Clock in seconds.
-        gate
+        send_check
             Decides whether anything may be sent to a runner, just before each send.
         """
         self._network = network
-        self._gate = gate
+        self._send_check = send_check
         self.listed = False
         self.members: dict[str, Member] = {}
         self._grace_s = drain_s * GRACE_SHARE
@@ -190,11 +190,11 @@
         earlier = self.members.get(runner.key)
         if earlier is not None:
             earlier.close()
-            self._gate.runner_statuses.forget(earlier.incarnation)
+            self._send_check.runner_statuses.forget(earlier.incarnation)
             events.log_event(events.RUNNER_RESTARTED, runner=runner.key, born_ms=runner.born_ms)
         self._remember_incarnation(runner)
         kv_tokens = self._kv_tokens.get(runner.service, UNKNOWN_KV_TOKENS)
-        member = Member(runner, self._network, self._gate, kv_tokens)
+        member = Member(runner, self._network, self._send_check, kv_tokens)
         member.on_replaced = self.on_replaced
         self.members[runner.key] = member
         self._changed.set()
--- a/packages/sesamepoint/src/sesamepoint/front/fleet_member.py
+++ b/packages/sesamepoint/src/sesamepoint/front/fleet_member.py
@@ -42,19 +42,21 @@
 class Member:
     """One incarnation of a runner: its registration, connections, load, health and reported status."""
 
-    def __init__(self, runner: Runner, network: Network, gate: SendCheck, kv_tokens: int = UNKNOWN_KV_TOKENS) -> None:
+    def __init__(
+        self, runner: Runner, network: Network, send_check: SendCheck, kv_tokens: int = UNKNOWN_KV_TOKENS
+    ) -> None:
         """Start from the registration only.
 
         Parameters
         ----------
-        gate
+        send_check
             Decides whether anything may be sent to the runner, just before each send.
         kv_tokens
             Size of the KV cache, in tokens.
         """
         self.runner = runner
-        self._gate = gate
-        self._runner_statuses = gate.runner_statuses
+        self._send_check = send_check
+        self._runner_statuses = send_check.runner_statuses
         # Whether a newer incarnation has taken its place, or it was dropped from the fleet.
         self.closed = False
         self.unregistered_at: float | None = None
@@ -102,7 +104,7 @@
 
     def blocking_condition(self, purpose: SendPurpose) -> str:
         """Return the condition that forbids to send ``purpose`` to the runner now; empty if none does."""
-        return self._gate.blocked_by(PendingSend(self, purpose, self.in_flight))
+        return self._send_check.blocked_by(PendingSend(self, purpose, self.in_flight))
 
     async def connection(self, purpose: SendPurpose) -> ClientConn:
         """Return a connection that runs the admission check before it sends anything.
@@ -178,7 +180,7 @@
     def _check_admission(self, purpose: SendPurpose) -> None:
         # A request of a caller already counts as in flight itself.
         beside = self.in_flight if purpose.kind in MAINTENANCE_CALLS else self.in_flight - 1
-        condition = self._gate.blocked_by(PendingSend(self, purpose, beside))
+        condition = self._send_check.blocked_by(PendingSend(self, purpose, beside))
         if condition:
             raise SendBlockedError(self.runner.key, condition)
         if purpose.job is not None:
--- a/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
+++ b/packages/sesamepoint/src/sesamepoint/front/peer_configuration.py
@@ -51,9 +51,9 @@
 class PeerConfiguration:
     """Serves the configuration in force to peers, and fetches newer ones from them."""
 
-    def __init__(self, intake: TopicSync, peers: Peers, network: Network, rng: Random) -> None:
-        """Serve the configuration that ``intake`` has in force, and pass newer ones of ``peers`` to it."""
-        self._intake = intake
+    def __init__(self, topic_sync: TopicSync, peers: Peers, network: Network, rng: Random) -> None:
+        """Serve the configuration that ``topic_sync`` has in force, and pass newer ones of ``peers`` to it."""
+        self._topic_sync = topic_sync
         self._peers = peers
         self._network = network
         self._rng = rng
@@ -61,11 +61,11 @@
 
     def encode_page(self) -> bytes:
         """Encode the configuration in force for peers."""
-        return msgspec.msgpack.encode(self._intake.in_force)
+        return msgspec.msgpack.encode(self._topic_sync.in_force)
 
     def available(self) -> bool:
         """Tell whether a configuration is in force."""
-        return self._intake.in_force is not None
+        return self._topic_sync.in_force is not None
 
     def request_from(self, peer: str) -> None:
         """Queue a fetch of a peer's configuration."""
@@ -100,7 +100,7 @@
                 await self._fetch(peer, address)
 
     def _version(self) -> int:
-        cfg = self._intake.in_force
+        cfg = self._topic_sync.in_force
         return cfg.version if cfg else 0
 
     def _send_version(self, peer: str) -> None:
@@ -112,7 +112,7 @@
                 cfg = await self._request_configuration(address)
         except (ConnectFailedError, ConnBrokenError, trio.TooSlowError) as exc:
             return events.log_event(events.PEER_CONFIGURATION_FAILED, peer=peer, cause=repr(exc))
-        taken = self._intake.put_in_force(cfg)
+        taken = self._topic_sync.put_in_force(cfg)
         events.log_event(events.PEER_CONFIGURATION, peer=peer, version=cfg.version, taken=taken)
 
     async def _request_configuration(self, address: Address) -> Configuration:
--- a/packages/sesamepoint/src/sesamepoint/front/quarantine.py
+++ b/packages/sesamepoint/src/sesamepoint/front/quarantine.py
@@ -63,7 +63,7 @@
 
     abandoned_at: float
     content_id: str
-    start: Incarnation
+    incarnation: Incarnation
     alone: bool
 
 
@@ -167,7 +167,7 @@
             return self.suspects.release(record.key)
         if self.suspects.quarantined(record.key):
             return False
-        incarnations = _decode_starts(record)
+        incarnations = _decode_incarnations(record)
         for incarnation in incarnations:
             self.suspects.note_end(record.key, incarnation)
         if incarnations:
@@ -232,27 +232,29 @@
         )
         return True
 
-    def _probe_allowed(self, start: Incarnation) -> bool:
+    def _probe_allowed(self, incarnation: Incarnation) -> bool:
         """Tell whether a probe may go to a runner: the runner has not ended and runs no other probe."""
-        return not self.suspects.has_ended(start) and not self.probes.runner_claimed(start.runner)
+        return not self.suspects.has_ended(incarnation) and not self.probes.runner_claimed(incarnation.runner)
 
     def _announce_probe(self, probe: Probe, state: ProbeState) -> None:
         self.probes.note(self._instance, probe, state)
         self.send_queue.enqueue(SuspectUpdate(self._instance, trials=(ProbeUpdate(probe, state),)))
 
-    def _note_runner_end(self, content_id: str, start: Incarnation, *, alone: bool) -> None:
+    def _note_runner_end(self, content_id: str, incarnation: Incarnation, *, alone: bool) -> None:
         """Count the end of a runner against a request.
 
         A request that ran there ``alone`` has caused the end and is quarantined.
         """
-        ends = self.suspects.note_end(content_id, start)
-        self.send_queue.enqueue(SuspectUpdate(self._instance, ends=(RunnerEnd(content_id, start),)))
-        events.log_event(events.RUNNER_ENDED, content=content_id, runner=start.runner, alone=alone, runners_ended=ends)
+        ends = self.suspects.note_end(content_id, incarnation)
+        self.send_queue.enqueue(SuspectUpdate(self._instance, ends=(RunnerEnd(content_id, incarnation),)))
+        events.log_event(
+            events.RUNNER_ENDED, content=content_id, runner=incarnation.runner, alone=alone, runners_ended=ends
+        )
         if alone:
             self._quarantine(content_id)
-        self._blame_abandoned(start)
+        self._blame_abandoned(incarnation)
 
-    def _blame_abandoned(self, start: Incarnation) -> None:
+    def _blame_abandoned(self, incarnation: Incarnation) -> None:
         """Count the end of a runner against the requests that were abandoned there just before.
 
         Their connections were closed by then, so their attempts did not fail.
@@ -260,11 +262,11 @@
         would be sent again and again.
         """
         since = trio.current_time() - ABANDONED_WINDOW_S
-        abandoned = [send for send in self._abandoned if send.start == start and send.abandoned_at >= since]
+        abandoned = [send for send in self._abandoned if send.incarnation == incarnation and send.abandoned_at >= since]
         for send in abandoned:
             self._abandoned.remove(send)
         for send in abandoned:
-            self._note_runner_end(send.content_id, start, alone=send.alone)
+            self._note_runner_end(send.content_id, incarnation, alone=send.alone)
 
     def _note_served(self, job: Job) -> None:
         content_id = job.content_id
@@ -296,7 +298,7 @@
             events.log_event(events.QUARANTINE_NOT_STORED, content=content_id, cause='the queue of records is full')
 
 
-def _decode_starts(record: KeyedRecord) -> tuple[Incarnation, ...]:
+def _decode_incarnations(record: KeyedRecord) -> tuple[Incarnation, ...]:
     try:
         return msgspec.json.decode(record.text, type=tuple[Incarnation, ...])
     except msgspec.DecodeError as exc:
--- a/packages/sesamepoint/src/sesamepoint/front/runner_selection.py
+++ b/packages/sesamepoint/src/sesamepoint/front/runner_selection.py
@@ -187,7 +187,7 @@
         service = cfg.services.get(job.service)
         engine = service.engine if service else None
         return Speeds(
-            reading=self.speed_meter(job.service).speed,
+            prefill_speed=self.speed_meter(job.service).speed,
             transfer_tokens_s=engine.link_bytes_s / engine.kv_token_bytes if engine else DEFAULT_TRANSFER_TOKENS_S,
             pause_s=job.route.pause_s,
             plain_pause_s=self.pause_meter(job.service).plain_s,
--- a/packages/sesamepoint/src/sesamepoint/front/store_sync.py
+++ b/packages/sesamepoint/src/sesamepoint/front/store_sync.py
@@ -37,24 +37,24 @@
     """Reads and writes the store; all its clients share the known epoch of the store."""
 
     def __init__(
-        self, cfg: FrontSettings, beliefs: SyncTargets, network: Network, rng: Random, clock: Clock | None
+        self, cfg: FrontSettings, targets: SyncTargets, network: Network, rng: Random, clock: Clock | None
     ) -> None:
         """Create the components without starting them; ``clock`` defaults to the system clock."""
-        peers = beliefs.peers
+        peers = targets.peers
         new_client = partial(StoreClient, cfg.store.address, network, StoreEpoch())
         self._registration = InstanceRegistration(cfg.name, peers, new_client)
-        self._intake = TopicSync(cfg, beliefs, self._registration, new_client)
-        self._quarantine_records = QuarantineRecords(beliefs.quarantine, new_client(), rng)
-        self._peer_configuration = PeerConfiguration(self._intake, peers, network, rng)
-        self._intake.request_configuration = self._peer_configuration.request_from
+        self._topic_sync = TopicSync(cfg, targets, self._registration, new_client)
+        self._quarantine_records = QuarantineRecords(targets.quarantine, new_client(), rng)
+        self._peer_configuration = PeerConfiguration(self._topic_sync, peers, network, rng)
+        self._topic_sync.request_configuration = self._peer_configuration.request_from
         peers.handlers[VersionMessage] = self._peer_configuration.on_version
-        peers.handlers[TopicUpdate] = self._intake.on_topic_update
-        peers.on_reconnect = self._intake.refresh_quarantine
-        self._runner_status = RunnerUpdates(beliefs.fleet, beliefs.runner_statuses, peers)
+        peers.handlers[TopicUpdate] = self._topic_sync.on_topic_update
+        peers.on_reconnect = self._topic_sync.refresh_quarantine
+        self._runner_status = RunnerUpdates(targets.fleet, targets.runner_statuses, peers)
         self._reporting: UsageReporting | None = None
         if cfg.duty is not None:
             self._reporting = UsageReporting(cfg.duty, peers, new_client(), network, clock or SystemClock(), rng)
-            beliefs.dispatcher.on_run_started = self._reporting.note_run
+            targets.dispatcher.on_run_started = self._reporting.note_run
         # Pages that peers may request from this instance.
         self.pages = Pages(
             {CONFIGURATION_PATH: Page(self._peer_configuration.encode_page, self._peer_configuration.available)}
@@ -62,7 +62,7 @@
 
     def children(self) -> list[Child]:
         """Return the tasks to run."""
-        topic_sync = self._intake
+        topic_sync = self._topic_sync
         return [
             Child('configuration', topic_sync.follow_configuration),
             Child('runners', topic_sync.follow_runners),
@@ -81,7 +81,7 @@
 
     def reconfigure(self, cfg: FrontSettings) -> None:
         """Apply changed settings."""
-        self._intake.reconfigure(cfg)
+        self._topic_sync.reconfigure(cfg)
 
     async def withdraw(self) -> None:
         """Hand over the duty and remove the record of this instance, which is about to stop."""
--- a/packages/sesamepoint/src/sesamepoint/front/topic_sync.py
+++ b/packages/sesamepoint/src/sesamepoint/front/topic_sync.py
@@ -72,7 +72,7 @@
         self,
         cfg: FrontSettings,
         targets: SyncTargets,
-        own_record: InstanceRegistration,
+        registration: InstanceRegistration,
         new_client: Callable[[], StoreClient],
     ) -> None:
         """Keep the given parts in step with the store that ``new_client`` calls."""
@@ -80,7 +80,7 @@
         self.request_configuration: Callable[[str], None] = _ignore_request
         self._cfg = cfg
         self._targets = targets
-        self._own_record = own_record
+        self._registration = registration
         self._new_client = new_client
         self._watches: dict[str, TopicWatch] = {}
         self._registered: dict[str, Runner] = {}
@@ -147,7 +147,9 @@
         """Keep the list of peers in step with the store, until cancelled."""
         pacing = Pacing(ENTRY_WAIT_S, ENTRY_PAUSE_S, ENTRY_SPREAD_S)
         await self._follow_topic(
-            INSTANCE_TOPIC, pacing, RecordHandlers(self._apply_entries, self._apply_entry, self._own_record.check_list)
+            INSTANCE_TOPIC,
+            pacing,
+            RecordHandlers(self._apply_entries, self._apply_entry, self._registration.check_list),
         )
 
     async def follow_quarantine(self) -> None:
@@ -199,12 +201,12 @@
     def _apply_entries(self, records: tuple[KeyedRecord, ...]) -> None:
         self._targets.peers.replace_all(records)
         self._share_budget()
-        self._own_record.check_list(records)
+        self._registration.check_list(records)
 
     def _apply_entry(self, record: KeyedRecord) -> bool:
         changed = self._targets.peers.update(record)
         self._share_budget()
-        self._own_record.check_record(record)
+        self._registration.check_record(record)
         return changed
 
     def _share_budget(self) -> None:
--- a/tests/core/serving/builders.py
+++ b/tests/core/serving/builders.py
@@ -11,14 +11,14 @@
 
 # The engines of the smaller known deployment, as measured there.
 FAST = Speeds(
-    reading=PrefillSpeed(overhead_s=0.036, token_s=1 / 112_000, pair_s=0),
+    prefill_speed=PrefillSpeed(overhead_s=0.036, token_s=1 / 112_000, pair_s=0),
     transfer_tokens_s=2_500_000,
     pause_s=0.15,
     plain_pause_s=0.04,
     late_cost_s=0.4,
 )
 # Those of the larger one: prefill is slower, and streams may pause for longer.
-SLOW = FAST._replace(reading=PrefillSpeed(0.036, 1 / 36_700, 0), pause_s=0.25, late_cost_s=0.8)
+SLOW = FAST._replace(prefill_speed=PrefillSpeed(0.036, 1 / 36_700, 0), pause_s=0.25, late_cost_s=0.8)
 
 
 def prefill(runner: str, uncached_tokens: int, **changes: Any) -> EngineView:
--- a/tests/core/test_assembly.py
+++ b/tests/core/test_assembly.py
@@ -28,7 +28,7 @@
         assembler.push(0, b'a')
         assembler.push(1, b'b')
         self.assertFalse(assembler.complete)
-        assembler.set_total(3)
+        assembler.expect_total(3)
         self.assertFalse(assembler.complete)
         assembler.push(2, b'c')
         self.assertTrue(assembler.complete)
--- a/tests/runtime/test_control.py
+++ b/tests/runtime/test_control.py
@@ -171,7 +171,7 @@
             self.assertTrue(all(seen.text == expected_text(req) for req, seen in calls.records))
 
     @in_virtual_time
-    async def test_publish_reaches_instance_cut_off_from_log(self) -> None:
+    async def test_publish_reaches_instance_without_log(self) -> None:
         # One instance cannot reach the log. It must get the new version from the
         # agents, whose heartbeats it requests anyway.
         async with DeploymentBench.open(configuration()) as bed:
