--- a/benchmarks/front_slopes.py
+++ b/benchmarks/front_slopes.py
@@ -46,7 +46,8 @@
     for count in (16, 400, 3100):
         text = _configuration(count)
         _print_line(
-            f'configuration of {count} routes: {len(text)} bytes, {_best_time_us(partial(decode_configuration, text)):.0f} us'
+            f'configuration of {count} routes: {len(text)} bytes, '
+            f'{_best_time_us(partial(decode_configuration, text)):.0f} us'
         )
     record = msgspec.json.encode(_registration())
     _print_line(f'registration: {len(record)} bytes, {_best_time_us(partial(decode_runner, "i", record)):.1f} us')
--- a/packages/sesamectl/src/sesamectl/burn_report.py
+++ b/packages/sesamectl/src/sesamectl/burn_report.py
@@ -77,7 +77,10 @@
 def _table_row(burn: RouteBurn, objective: float) -> str:
     counts = ''.join(f'<td>{burn.overall.counts[outcome]}</td>' for outcome in OUTCOMES)
     worst = burn.worst_window(objective)
-    cells = f'<td>{burn.overall.burn_rate(objective):.1f}</td><td>{worst.burn_rate(objective):.1f} from {worst.start_s:g} s</td>'
+    cells = (
+        f'<td>{burn.overall.burn_rate(objective):.1f}</td>'
+        f'<td>{worst.burn_rate(objective):.1f} from {worst.start_s:g} s</td>'
+    )
     return f'<tr><td>{escape(burn.route)}</td>{counts}{cells}</tr>'
 
 
--- a/packages/sesamectl/src/sesamectl/experiment/trial.py
+++ b/packages/sesamectl/src/sesamectl/experiment/trial.py
@@ -172,7 +172,13 @@
         return (self._times[-1] - self._times[0]) / tokens if tokens else None
 
 
-async def _switch_fault(when: float, fault: Callable[..., None], bench: DeploymentBench, target: str, on: bool) -> None:  # noqa: FBT001
+async def _switch_fault(
+    when: float,
+    fault: Callable[..., None],
+    bench: DeploymentBench,
+    target: str,
+    on: bool,  # noqa: FBT001
+) -> None:
     await trio.sleep_until(when)
     fault(bench, target, on=on)
 
--- a/packages/sesamectl/src/sesamectl/request_explanation.py
+++ b/packages/sesamectl/src/sesamectl/request_explanation.py
@@ -39,7 +39,9 @@
 # Refusals because of the status that the runners reported, by cause.
 _RUNNER_STATUS_REFUSALS: Mapping[str, str] = MappingProxyType(
     {
-        FailureCause.rate_limited: 'refused: its runners name limits, and these left no permit for it before its deadline',
+        FailureCause.rate_limited: (
+            'refused: its runners name limits, and these left no permit for it before its deadline'
+        ),
         FailureCause.backed_off: 'refused: its runners had asked for rest, and no back-off ended before its deadline',
         FailureCause.draining: 'refused: all runners of its service leave, and no other one is registered',
     }
--- a/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/config/check.py
@@ -98,7 +98,7 @@
     if floors > size:
         yield f'fleets.{name}.floors: they add up to {floors}, the fleet has {size}; lower them'
     if fleet['kind'] == 'engine' and 'engine' not in fleet:
-        yield f'fleets.{name}.engine: it is missing; set the measured times of the engines'
+        yield f'fleets.{name}.engine: it is missing; give the measured figures of the engines'
     for runner in sorted(set(fleet['roles']) - set(cfg['runners'])):
         yield f'fleets.{name}.roles.{runner}: no such runner; remove it or add the runner'
 
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement of processes: a deterministic fold over the records of the control log."""
+"""Deterministic state machine over the records of the control log."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/fold/apply.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/fold/apply.py
@@ -92,7 +92,7 @@
                 offset,
                 'preset_missing',
                 f'preset {state.preset!r} is in force and not in the file',
-                'add it to the file, or switch to another preset first',
+                'add it, or switch first',
             ),
         )
     published = state._replace(configuration=bytes(body.configuration))
@@ -148,8 +148,8 @@
             _rejected(
                 offset,
                 'lease_lost',
-                f'{body.name} was claimed by another process',
-                'stop acting under this lease and follow the log',
+                f'{body.name} was claimed by another',
+                'stop acting, follow',
             ),
         )
     kept = {**state.leases, body.name: lease._replace(renewed=offset)}
@@ -167,8 +167,8 @@
             _rejected(
                 offset,
                 'fenced',
-                f'order {offset} was issued under a lost lease',
-                'stop acting under this lease and follow the log',
+                f'order {offset} was given under a lost lease',
+                'stop acting, follow',
             ),
         )
     if body.version != state.version:
@@ -177,8 +177,8 @@
             _rejected(
                 offset,
                 'superseded',
-                f'version {state.version} took effect before order {offset}',
-                'plan again from this version',
+                f'version {state.version} came before order {offset}',
+                'plan anew',
             ),
         )
     standing = StandingOrder(
@@ -192,9 +192,7 @@
     if standing is None or standing.offset != body.offset:
         return Step(
             state,
-            _rejected(
-                offset, 'superseded', f'order {body.offset} is not the newest one for its runner', 'nothing to do'
-            ),
+            _rejected(offset, 'superseded', f'order {body.offset} is no longer standing', 'nothing to do'),
         )
     done = standing._replace(done=True, found_role=body.role)
     return Step(state._replace(orders={**state.orders, body.runner: done}), Accepted(offset, state.version))
--- a/packages/sesamepoint-core/src/sesamepoint_core/keys/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys: which process may run a request, by the order of a log stream."""
+"""Claims of idempotency keys, in the order of a log stream."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/__init__.py
@@ -1,1 +1,1 @@
-"""Planning of the roles of runners."""
+"""Planner of the roles of runners."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/plan/planner.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/plan/planner.py
@@ -105,13 +105,13 @@
     when a long phase has ended, the long horizon alone still shows it.
     """
     if sum(runner.changing for runner in view.runners) >= view.preset['max_changing']:
-        return Plan(None, (), 'the preset allows no more role changes at once')
+        return Plan(None, (), 'as many runners are changing as the preset allows')
     alternatives = tuple(sorted(_alternatives(view), key=lambda alternative: -alternative.score))
     if not alternatives:
         return Plan(
             None,
             (),
-            'no role change is possible: roles are at their floors, or runners are not ready or already changing',
+            'floors and readiness leave no change open',
         )
     best = alternatives[0]
     if best.score <= 0:
--- a/packages/sesamepoint-core/src/sesamepoint_core/route/__init__.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/route/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of the runner for a request, by estimated delay."""
+"""Runner selection for a request, by estimated delay."""
--- a/packages/sesamepoint-core/src/sesamepoint_core/validation_errors.py
+++ b/packages/sesamepoint-core/src/sesamepoint_core/validation_errors.py
@@ -18,7 +18,7 @@
         'missing': 'add it',
         'missing_argument': 'add it',
         'literal_error': 'use one of those',
-        'json_invalid': 'fix the JSON syntax',
+        'json_invalid': 'mend the JSON',
     }
 )
 
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/engine.py
@@ -149,7 +149,7 @@
         if self._checks_fencing and fence < self.fence:
             raise EngineRefusedError(f'fencing number {fence} is older than {self.fence}')
         if self.changing:
-            raise EngineRefusedError('a role change is in progress')
+            raise EngineRefusedError('a change is under way')
         self.fence = max(fence, self.fence)
         self.orders.append((role, fence))
         self.dropped_by_order += len(self._active_requests())
--- a/packages/sesamepoint-standins/src/sesamepoint_standins/memory_platform.py
+++ b/packages/sesamepoint-standins/src/sesamepoint_standins/memory_platform.py
@@ -65,7 +65,7 @@
         offset = stored.append(payload)
         if self.faults.replies_to_lose > 0:
             self.faults.replies_to_lose -= 1
-            raise PlatformUnavailableError('log', 'reply lost')
+            raise PlatformUnavailableError('log', 'the reply was lost')
         return offset
 
     async def read(self, stream: str, start: int, wait_s: float) -> LogPage:
@@ -92,7 +92,7 @@
         self._appends_in_second = self._appends_in_second + 1 if second == self._current_second else 1
         self._current_second = second
         if self._appends_in_second > self._append_limit:
-            raise PlatformUnavailableError('log', 'append limit exceeded')
+            raise PlatformUnavailableError('log', 'append limit')
 
     def _stream(self, name: str) -> _Stream:
         return self._streams.setdefault(name, _Stream())
--- a/packages/sesamepoint/src/sesamepoint/agent/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: the only door to one upstream."""
+"""Agent of one upstream."""
--- a/packages/sesamepoint/src/sesamepoint/control/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/control/__init__.py
@@ -1,1 +1,1 @@
-"""Following the control log and acting on it."""
+"""Control log follower, planning leader and its lease."""
--- a/packages/sesamepoint/src/sesamepoint/entry/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: where callers come in."""
+"""HTTP interface for callers: request parsing, admission and idempotency keys."""
--- a/packages/sesamepoint/src/sesamepoint/entry/admission.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/admission.py
@@ -36,7 +36,7 @@
         wait_s = self._accounts.wait_s(trio.current_time(), req.account, rate, entries)
         if not wait_s:
             return None
-        return NotRun(ACCOUNT_LIMIT, 'send fewer requests, or ask for a higher account_rate', wait_s)
+        return NotRun(ACCOUNT_LIMIT, 'send fewer, or ask for a higher account_rate', wait_s)
 
     def deadline_share(self, req: CallerRequest) -> float:
         """Return the share of its timeout within which a request must be expected to finish."""
--- a/packages/sesamepoint/src/sesamepoint/entry/attempt.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/attempt.py
@@ -98,7 +98,7 @@
     async def _next_frame(self, frames: AsyncIterator[Frame]) -> Frame:
         with trio.move_on_after(FRAME_TIMEOUT_S):
             return await anext(frames)
-        raise LinkLostError(self._view.cfg['agent'], f'no frame received for {FRAME_TIMEOUT_S} s')
+        raise LinkLostError(self._view.cfg['agent'], f'silent for {FRAME_TIMEOUT_S} s')
 
     async def _release_chunks(self, frame: Frame) -> None:
         for chunk in self._assembler.push(frame.number, frame.payload):
@@ -110,7 +110,7 @@
         released = self._assembler.released
         self._assembler.expect_total(frame.number)
         if frame.outcome is AttemptOutcome.answered and not self._assembler.complete:
-            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks received')
+            raise LinkLostError(self._view.cfg['agent'], f'{released} of {frame.number} chunks came')
         return AttemptResult(frame.outcome, frame.code, released)
 
     async def _cancel(self, outcome: AttemptOutcome, code: str) -> AttemptResult:
--- a/packages/sesamepoint/src/sesamepoint/entry/caller_app.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/caller_app.py
@@ -52,7 +52,7 @@
             return parse_completion(raw, self._server.fleets)
         if raw.path.startswith(SERVICES_PATH):
             return parse_plain(raw, self._server.fleets)
-        raise BadRequestError('no_such_path', f'there is no endpoint {raw.method} {raw.path}', 'see docs/API.md')
+        raise BadRequestError('no_such_path', f'nothing answers {raw.method} {raw.path}', 'see docs/API.md')
 
     async def _serve_until_disconnect(self, req: CallerRequest, receive: Receive, send: Send) -> None:
         """Serve the request; cancel it when the caller disconnects."""
@@ -134,7 +134,7 @@
         more = message.get('more_body', False)
         if len(body) > input_limits.MAX_BODY_BYTES:
             raise BadRequestError(
-                'body_too_large', f'the body is over {input_limits.MAX_BODY_BYTES} bytes', 'send a smaller body'
+                'body_too_large', f'the body is over {input_limits.MAX_BODY_BYTES} bytes', 'send less'
             )
     headers = {name.decode('latin-1').lower(): text.decode('latin-1') for name, text in scope['headers']}
     return RawRequest(scope['method'], scope['path'], headers, bytes(body))
--- a/packages/sesamepoint/src/sesamepoint/entry/keyed_requests.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/keyed_requests.py
@@ -146,7 +146,7 @@
         return Answered(len(reply.chunks), late=False)
     if reply.status is KeyStatus.done and reply.outcome is AttemptOutcome.failed:
         return Failed(reply.code, 'use a new key to run it again')
-    return Unknown('key_unknown', 'check whether it took effect before using a new key')
+    return Unknown('key_unknown', 'look whether it took effect before using a new key')
 
 
 __all__ = ('KeyedRequests',)
--- a/packages/sesamepoint/src/sesamepoint/entry/parse.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/parse.py
@@ -102,7 +102,7 @@
     try:
         return msgspec.json.decode(body, type=CompletionBody)
     except msgspec.ValidationError as exc:
-        raise BadRequestError('bad_field', str(exc), 'correct that field') from exc
+        raise BadRequestError('bad_field', str(exc), 'mend that field') from exc
     except msgspec.DecodeError as exc:
         raise BadRequestError('not_json', f'the body is not JSON: {exc}', 'send a JSON object') from exc
 
@@ -126,7 +126,7 @@
     except ValueError as exc:
         raise BadRequestError('bad_timeout', f'x-timeout-ms is {text!r}', 'send whole milliseconds') from exc
     if timeout_s <= 0:
-        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the remaining time, above 0')
+        raise BadRequestError('deadline_past', f'x-timeout-ms is {text}', 'send the time that is left, above 0')
     return min(timeout_s, input_limits.MAX_TIMEOUT_S)
 
 
--- a/packages/sesamepoint/src/sesamepoint/entry/request_server.py
+++ b/packages/sesamepoint/src/sesamepoint/entry/request_server.py
@@ -98,7 +98,7 @@
 
     async def _serve(self, req: CallerRequest, emit: Callable[[bytes], Awaitable[None]]) -> Outcome:
         if self.draining:
-            return NotRun('leaving', 'send it again, to another instance', MIN_RETRY_AFTER_S)
+            return NotRun('leaving', 'send it again, to another entry', MIN_RETRY_AFTER_S)
         refusal = self._admission.check_account_rate(req)
         if refusal is not None:
             self._record_refusal(req, refusal.code, 0, ())
@@ -217,7 +217,7 @@
     if ended.outcome is AttemptOutcome.not_started:
         return NotRun(ended.code, 'send it again later', RETRY_AFTER_S)
     if ended.outcome is AttemptOutcome.unknown:
-        return Unknown(ended.code, 'check whether it took effect before sending it again')
+        return Unknown(ended.code, 'look whether it took effect before sending it again')
     return Failed(ended.code, 'send it again, with more time if the deadline passed')
 
 
--- a/packages/sesamepoint/src/sesamepoint/keys/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys at run time: homes that gather claims, and their askers."""
+"""Idempotency keys at run time: shard coordinators and their clients."""
--- a/packages/sesamepoint/src/sesamepoint/link/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/link/__init__.py
@@ -1,1 +1,1 @@
-"""Links between the processes."""
+"""Connections between the processes."""
--- a/packages/sesamepoint/src/sesamepoint/process/__init__.py
+++ b/packages/sesamepoint/src/sesamepoint/process/__init__.py
@@ -1,1 +1,1 @@
-"""Putting the parts of a process together."""
+"""Assembly, start and graceful stop of the processes."""
--- a/tests/fuzz/__main__.py
+++ b/tests/fuzz/__main__.py
@@ -37,7 +37,8 @@
     )
     run_state_machine_as_test(seed(seed_number)(CountingMachine), settings=chosen)
     sys.stdout.write(
-        f'seed {seed_number}: {CountingMachine.programs} programs, {sum(CountingMachine.counts.values())} steps, none broken\n'
+        f'seed {seed_number}: {CountingMachine.programs} programs, '
+        f'{sum(CountingMachine.counts.values())} steps, none broken\n'
     )
     for name, count in sorted(CountingMachine.counts.items()):
         sys.stdout.write(f'  {name:14} {count}\n')
